--- a/src/StatementSteps.cpp
+++ b/src/StatementSteps.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/** Name of a prepared statement at members: the same for all sessions that prepare this shape, so that connections can be shared. */
+/** Name of a prepared statement at members. It is the same for all sessions that prepare the same shape, so that they can share connections. */
 std::string sharedName(const PreparedStatement &prepared)
 {
     return absl::StrCat(prepared.writes_ ? "w" : "r", prepared.shape_);
@@ -14,14 +14,14 @@
 
 void addValues(const ClientSession &session, const MemberConnection &connection, std::deque<MemberRequest> &steps)
 {
-    const auto left = [&](const auto &value) { return !session.values_.contains(value.first); };
-    const bool leftover = std::ranges::any_of(connection.values_, left);
-    if (leftover) {
+    const auto isStale = [&](const auto &value) { return !session.values_.contains(value.first); };
+    const bool hasStale = std::ranges::any_of(connection.values_, isStale);
+    if (hasStale) {
         steps.push_back(MemberRequest{.verb_ = MemberVerb::Reset});
     }
     for (const auto &[name, value] : session.values_) {
-        const auto there = connection.values_.find(name);
-        if (leftover || there == connection.values_.end() || there->second != value) {
+        const auto current = connection.values_.find(name);
+        if (hasStale || current == connection.values_.end() || current->second != value) {
             MemberRequest set{.verb_ = MemberVerb::Set};
             set.name_ = name;
             set.value_ = value;
--- a/src/TokenBucket.cpp
+++ b/src/TokenBucket.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-/** Of a bucket that hardly fills: clients are told nothing longer. */
-constexpr Duration longestWait = std::chrono::seconds(10);
+/** Upper bound of the wait reported for a bucket that hardly fills; clients are never told to wait longer. */
+constexpr Duration maxReportedWait = std::chrono::seconds(10);
 
 } // namespace
 
@@ -29,8 +29,8 @@
 Duration untilNextToken(const TokenBucket &bucket, const BucketRate &rate)
 {
     const double missing = std::max(0.0, 1.0 - bucket.tokens_);
-    const double longest = std::chrono::duration<double>(longestWait).count();
-    const double seconds = rate.perSecond_ > 0 ? std::min(longest, missing / rate.perSecond_) : longest;
+    const double maxSeconds = std::chrono::duration<double>(maxReportedWait).count();
+    const double seconds = rate.perSecond_ > 0 ? std::min(maxSeconds, missing / rate.perSecond_) : maxSeconds;
     return missing > 0 ? std::chrono::duration_cast<Duration>(std::chrono::duration<double>(seconds)) : Duration(0);
 }
 
--- a/src/TokenBucket.h
+++ b/src/TokenBucket.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines a token bucket: permits that come at a steady rate and are kept up to a capacity.
+ * Defines a token bucket: tokens accrue at a constant rate up to a capacity.
  */
 #pragma once
 
@@ -7,25 +7,25 @@
 
 namespace Figward {
 
-/** Permits at hand at one time. */
+/** Tokens available at a point in time. */
 struct TokenBucket
 {
     double tokens_ = 0;
     Time filledAt_;
 };
 
-/** How a bucket fills. */
+/** Fill rate and capacity of a bucket. */
 struct BucketRate
 {
     double perSecond_ = 0;
     double capacity_ = 0;
 };
 
-/** Brings the bucket to \p now; what exceeds the capacity, which may have become smaller, is lost. */
+/** Adds the tokens accrued until \p now. Tokens above the capacity, which may have been reduced, are discarded. */
 void refill(TokenBucket &bucket, const BucketRate &rate, Time now);
-/** Takes up to \p wanted whole tokens; returns how many. */
+/** Takes up to \p wanted whole tokens; returns the number taken. */
 unsigned takeTokens(TokenBucket &bucket, unsigned wanted);
-/** How long it takes until the bucket, brought to the present, holds a whole token; zero if it does. */
+/** Time until the bucket, refilled up to the present, holds a whole token; zero if it already does. */
 Duration untilNextToken(const TokenBucket &bucket, const BucketRate &rate);
 
 } // namespace Figward
--- a/src/WaitForecast.cpp
+++ b/src/WaitForecast.cpp
@@ -6,38 +6,38 @@
 
 namespace {
 
-/** Before the first was seen: less than statements have time, so that none is refused for a guess. */
-constexpr Duration firstGuess = std::chrono::milliseconds(500);
-/** Outages follow the platform's time for a promotion, which hardly changes; a few of the last cover both planned and sudden ones. */
-constexpr std::size_t remembered = 4;
-/** Shorter ones are heartbeats that came late, not replacements. */
-constexpr Duration shortest = std::chrono::milliseconds(100);
+/** Expected duration before the first outage was recorded: shorter than statement timeouts, so that no statement is refused on a guess. */
+constexpr Duration defaultOutage = std::chrono::milliseconds(500);
+/** Number of outages kept. Their duration follows the platform's promotion time, which hardly changes; the last few include both planned and sudden ones. */
+constexpr std::size_t maxOutages = 4;
+/** Minimum duration of a recorded outage: shorter ones are caused by delayed heartbeats, not by replacements. */
+constexpr Duration minOutage = std::chrono::milliseconds(100);
 
-/** The pace of a queue is that of the last second: it changes within some seconds when members come and go. */
-constexpr Duration paceTime = std::chrono::seconds(1);
-/** Fewer starts than these tell no pace. */
-constexpr std::ptrdiff_t fewStarts = 3;
-/** Statements that wait for a moment are no queue: while few come, the pace of starts is that of arrivals. */
-constexpr Duration shortestQueue = std::chrono::milliseconds(300);
-/** More tell nothing new. */
-constexpr std::size_t mostStarts = 256;
+/** Period over which throughput is measured. Throughput changes within a few seconds when members come and go. */
+constexpr Duration throughputPeriod = std::chrono::seconds(1);
+/** Minimum number of starts from which throughput can be estimated. */
+constexpr std::ptrdiff_t minStarts = 3;
+/** Minimum time for which statements must have been waiting. With shorter waits the rate of starts is only the rate of arrivals. */
+constexpr Duration minQueueTime = std::chrono::milliseconds(300);
+/** Maximum number of recorded starts; more would not improve the estimate. */
+constexpr std::size_t maxStarts = 256;
 
 } // namespace
 
 void noteOutage(OutageHistory &history, Duration length)
 {
-    if (length < shortest) {
+    if (length < minOutage) {
         return;
     }
     history.lengths_.push_back(length);
-    if (history.lengths_.size() > remembered) {
+    if (history.lengths_.size() > maxOutages) {
         history.lengths_.pop_front();
     }
 }
 
 Duration typicalOutage(const OutageHistory &history)
 {
-    return history.lengths_.empty() ? firstGuess : std::ranges::max(history.lengths_);
+    return history.lengths_.empty() ? defaultOutage : std::ranges::max(history.lengths_);
 }
 
 WaitForecast outageLeft(const OutageHistory &history, Duration elapsed)
@@ -50,14 +50,14 @@
 {
     history.stalledSince_ = now;
     history.starts_.push_back(now);
-    while (history.starts_.size() > mostStarts || history.starts_.front() + paceTime < now) {
+    while (history.starts_.size() > maxStarts || history.starts_.front() + throughputPeriod < now) {
         history.starts_.pop_front();
     }
 }
 
-void noteWaiting(QueueHistory &history, bool anyWait, Time now)
+void noteWaiting(QueueHistory &history, bool isWaiting, Time now)
 {
-    if (!anyWait) {
+    if (!isWaiting) {
         history.waitingSince_.reset();
         history.stalledSince_.reset();
     } else if (!history.waitingSince_) {
@@ -68,21 +68,21 @@
 
 std::optional<WaitForecast> queueLeft(const QueueHistory &history, unsigned ahead, Time now)
 {
-    if (!history.waitingSince_ || now - *history.waitingSince_ < shortestQueue) {
+    if (!history.waitingSince_ || now - *history.waitingSince_ < minQueueTime) {
         return std::nullopt;
     }
-    const Duration span = std::min(paceTime, now - *history.waitingSince_);
+    const Duration span = std::min(throughputPeriod, now - *history.waitingSince_);
     const auto first = std::ranges::lower_bound(history.starts_, now - span);
     const auto started = std::distance(first, history.starts_.end());
-    if (started < fewStarts) {
+    if (started < minStarts) {
         return WaitForecast{now - *history.stalledSince_, false};
     }
     return WaitForecast{span * (ahead + 1) / started, true};
 }
 
-bool isWorthWaiting(const WaitForecast &forecast, Time deadline, Duration whole, Time now)
+bool isWorthWaiting(const WaitForecast &forecast, Time deadline, Duration timeout, Time now)
 {
-    return forecast.known_ ? now + forecast.left_ < deadline : forecast.left_ < whole;
+    return forecast.known_ ? now + forecast.left_ < deadline : forecast.left_ < timeout;
 }
 
 } // namespace Figward
--- a/src/WaitForecast.h
+++ b/src/WaitForecast.h
@@ -1,9 +1,9 @@
 /** \file
- * Defines how long a statement that no member may run now is likely to wait, from plain figures of what this VM has seen.
+ * Defines a forecast of how long a statement that no member can run now will wait, from outages and queue throughput observed by this VM.
  *
- * It answers the load pattern of a primary that is being replaced, or of members that are full: statements pile up, each is held until its timeout, and then
- * refused when its client has no time left to ask elsewhere. What cannot be served in its time is refused at once, with the time after which it can be;
- * what can, waits.
+ * While a primary is being replaced, or while all members are full, statements accumulate. Without a forecast each would be held until its timeout and refused
+ * when its client has no time left to try another VM. A statement that is not expected to be served before its deadline is therefore refused at once, together
+ * with the time after which it can be served; any other statement waits.
  */
 #pragma once
 
@@ -14,53 +14,54 @@
 
 namespace Figward {
 
-/** How long primaries could not be used, each time that one was replaced. */
+/** Durations of the last outages of primaries, each ended by a replacement. */
 struct OutageHistory
 {
-    std::deque<Duration> lengths_; ///< The newest last.
+    std::deque<Duration> lengths_; ///< Newest last.
 };
 
-/** Notes that a primary could be used again after \p length. */
+/** Records that a primary was usable again after an outage of \p length. */
 void noteOutage(OutageHistory &history, Duration length);
-/** How long an outage lasts as a rule: the longest of the last few, or an estimate while none was seen. */
+/** Expected duration of an outage: the longest of the last few, or a default while none has been recorded. */
 Duration typicalOutage(const OutageHistory &history);
 
-/** How long a statement is likely to wait yet. */
+/** Forecast of the remaining wait of a statement. */
 struct WaitForecast
 {
     Duration left_{};
-    bool known_ = true; ///< Otherwise all that is known is that what it waits for has lasted for left_ already, and it may last as long again.
+    bool known_ = true; ///< If false, the end is unknown: the first field is how long the cause has lasted, and it may last as long again.
     bool operator==(const WaitForecast &) const = default;
 };
 
 /**
- * How much longer an outage is likely to last that has lasted for \p elapsed. Within the typical length it is what is left of that; one that is longer has
- * another cause, such as a store that is away, and its end is not known.
+ * Forecast of the remaining duration of an outage that has lasted for \p elapsed. Up to the expected duration, it is the rest of that. A longer outage has
+ * another cause, such as an unreachable store, and its end is unknown.
  */
 WaitForecast outageLeft(const OutageHistory &history, Duration elapsed);
 
-/** A queue of statements that wait for connections, and how it has moved lately. */
+/** State of a queue of statements that wait for connections, and its recent throughput. */
 struct QueueHistory
 {
-    std::optional<Time> waitingSince_; ///< Since then some statement has been waiting at every moment.
-    std::optional<Time> stalledSince_; ///< While statements wait: since the last was started, or since the first of them came.
-    std::deque<Time> starts_; ///< Of statements, the newest last.
+    std::optional<Time> waitingSince_; ///< Time since which the queue has never been empty.
+    std::optional<Time> stalledSince_; ///< While the queue is not empty: when the last statement was started, or when the first one was queued.
+    std::deque<Time> starts_; ///< Start times of statements, newest last.
 };
 
-/** Notes that a statement was given to a member. */
+/** Records that a statement was started at a member. */
 void noteStart(QueueHistory &history, Time now);
-/** Notes whether statements wait; to be called whenever that may have changed. */
-void noteWaiting(QueueHistory &history, bool anyWait, Time now);
+/** Records whether statements are waiting; must be called whenever that may have changed. */
+void noteWaiting(QueueHistory &history, bool isWaiting, Time now);
 /**
- * How long a queue needs until it comes to a statement behind \p ahead others, by its pace in the last second; nothing if it has not been a queue for long
- * enough to tell. The end of one that does not move is not known.
+ * Forecast of the time until the queue reaches a statement behind \p ahead others, from its throughput in the last second; absent if statements have not been
+ * waiting for long enough to measure it. For a stalled queue the end is unknown.
  */
 std::optional<WaitForecast> queueLeft(const QueueHistory &history, unsigned ahead, Time now);
 
 /**
- * Whether a statement that has time until \p deadline, of \p whole in all, should wait. What is known counts against the time that it has left; what has no
- * known end against its whole time, so that those who came first wait in case it ends, and those who come when it has lasted for that long do not.
+ * Whether a statement with the given deadline and total timeout should wait. A known remaining wait is compared with the time left until the
+ * deadline. If the end is unknown, the time that the cause has lasted is compared with the total timeout: statements that arrive early wait in case it ends,
+ * and statements that arrive after it has lasted longer than their timeout do not.
  */
-bool isWorthWaiting(const WaitForecast &forecast, Time deadline, Duration whole, Time now);
+bool isWorthWaiting(const WaitForecast &forecast, Time deadline, Duration timeout, Time now);
 
 } // namespace Figward
--- a/test/correctness/ConnectionsAreShared.cpp
+++ b/test/correctness/ConnectionsAreShared.cpp
@@ -19,8 +19,8 @@
     return {{MemberId("i-1"), ZoneId("a")}, {MemberId("i-2"), ZoneId("b")}, {MemberId("i-3"), ZoneId("c")}};
 }
 
-/** VMs over four availability zones, of which the last has no member. */
-std::vector<HomeSeeker> seekers()
+/** VMs in four availability zones, the last of which has no member. */
+std::vector<HomeSeeker> vmsInZones()
 {
     std::vector<HomeSeeker> all;
     for (unsigned vm = 0; vm < vms; ++vm) {
@@ -29,8 +29,8 @@
     return all;
 }
 
-/** Residents of each member, when every VM decides for itself. */
-std::map<MemberId, unsigned> residents(const std::vector<HomeSeeker> &all)
+/** Number of persistent connections to each member if every VM decides for itself. */
+std::map<MemberId, unsigned> persistentConnections(const std::vector<HomeSeeker> &all)
 {
     std::map<MemberId, unsigned> counts;
     for (const HomeSeeker &self : all) {
@@ -42,8 +42,11 @@
     return counts;
 }
 
-/** VMs that hold a connection of a visit at any moment, if \p perSecond visits of each come at random and rest for as long as planned. */
-double visitsResting(unsigned members, unsigned vmsInAll, double perSecond)
+/**
+ * Expected number of VMs that hold a temporary connection to a member with \p members connections, if each uses the member \p perSecond times a second at
+ * random.
+ */
+double expectedIdle(unsigned members, unsigned vmsInAll, double perSecond)
 {
     const double rest = std::chrono::duration<double>(visitRest(members, vmsInAll, perSecond)).count();
     return vmsInAll * (1 - std::exp(-perSecond * rest));
@@ -57,16 +60,16 @@
     EXPECT_EQ(plan.most_, 3U);
     EXPECT_EQ(plan.resting_, 1U);
     EXPECT_FALSE(areConnectionsScarce(22, 7));
-    EXPECT_TRUE(areConnectionsScarce(limit, 22)) << "one connection each would be taken by the first transaction that rests";
+    EXPECT_TRUE(areConnectionsScarce(limit, 22)) << "a single connection per VM would be taken up by the first idle transaction";
 }
 
-// Load pattern: 77 VMs before members that take 36 connections. Each VM decides for itself whether it stays connected; together they must leave half of
-// each member's connections to visits, to transactions, and to VMs that start again.
-TEST(ConnectionsAreShared, soThatResidentsLeaveHalfOfThemToVisits)
+// 77 VMs share members that accept 36 connections. Each VM decides independently whether it keeps a persistent connection; together they must leave half of
+// each member's connections for temporary connections, transactions and restarted VMs.
+TEST(ConnectionsAreShared, soThatPersistentOnesLeaveHalfForOthers)
 {
-    for (const auto &[member, count] : residents(seekers())) {
+    for (const auto &[member, count] : persistentConnections(vmsInZones())) {
         EXPECT_LE(count, limit / 2) << member.value();
-        EXPECT_GE(count, limit / 3) << member.value() << ": connections that could save openings are not used";
+        EXPECT_GE(count, limit / 3) << member.value() << ": too few persistent connections";
     }
 }
 
@@ -77,19 +80,20 @@
     EXPECT_EQ(homeOf({VmId(7), ZoneId("d")}, {}), std::nullopt);
 }
 
-// Load pattern: all VMs visit a member, each now and then, 3 to 3,000 times a second together. However many VMs and visits there are, connections that rest must leave
-// room beside the residents, who may be half of what a member takes; and while visits are few they must be worth something, or each opens anew.
-TEST(ConnectionsAreShared, byVisitsThatFitBesideTheResidents)
+// All VMs use a member through temporary connections, together 3 to 3,000 times a second. For any number of VMs and uses, idle temporary connections must fit
+// beside the persistent ones, which may be half of what a member accepts. With few uses, they must stay open long enough to be reused, or each use would open a
+// new connection.
+TEST(ConnectionsAreShared, byTemporaryOnesThatFitBesideThePersistentOnes)
 {
     for (const unsigned all : {22U, 59U, 77U, 100U, 300U, 530U}) {
         for (const double perSecond : {0.01, 0.1, 1.0, 10.0}) {
-            EXPECT_LE(visitsResting(limit, all, perSecond), limit - mostResidents(limit)) << all << " VMs, each " << perSecond;
+            EXPECT_LE(expectedIdle(limit, all, perSecond), limit - mostResidents(limit)) << all << " VMs, each " << perSecond;
         }
-        EXPECT_GE(visitsResting(limit, all, 1.0), limit / 5.0) << all << " VMs: connections that could save openings are not used";
+        EXPECT_GE(expectedIdle(limit, all, 1.0), limit / 5.0) << all << " VMs: too few idle connections to be reused";
     }
 }
 
-TEST(ConnectionsAreShared, byWhatAVmSeesOfItsOwnUse)
+TEST(ConnectionsAreShared, byTheMeasuredUseRate)
 {
     UseRate rate;
     Time now{std::chrono::seconds(100)};
@@ -98,6 +102,6 @@
         noteUse(rate, now);
     }
     EXPECT_NEAR(usesPerSecond(rate, now), 10.0, 0.5);
-    EXPECT_LT(usesPerSecond(rate, now + std::chrono::seconds(20)), 0.5) << "a burst is forgotten";
+    EXPECT_LT(usesPerSecond(rate, now + std::chrono::seconds(20)), 0.5) << "a past burst should no longer count";
     EXPECT_EQ(usesPerSecond(UseRate(), now), 0.0);
 }
--- a/test/correctness/OrganisationsAreToldApart.cpp
+++ b/test/correctness/OrganisationsAreToldApart.cpp
@@ -88,7 +88,7 @@
     EXPECT_NE(digest, digestOf("second-secret"));
 }
 
-// Guards against a key that leaves the VM: other VMs fetch a configuration from this one.
+// Guards against keys that leave the VM: other VMs fetch the configuration from this one.
 TEST(OrganisationsAreToldApart, whatVmsPassOnHoldsDigestsInPlaceOfKeys)
 {
     boost::json::value configuration = boost::json::parse(privateConfiguration);
@@ -99,7 +99,7 @@
     EXPECT_EQ(*holderOf(*read->organisations_, digestOf("first-secret")), OrganisationId("acme"));
 }
 
-// Guards against a key at a member: it is told the organisation's name.
+// Guards against keys that are sent to a member: it must receive only the organisation's name.
 TEST(OrganisationsAreToldApart, aMemberIsToldTheOrganisation)
 {
     EXPECT_EQ(Platform::formatMemberStart(ServiceId("s"), OrganisationId("acme"), MemberId("m")), "START s acme m\r\n");
--- a/test/correctness/SessionsReadAndWrite.cpp
+++ b/test/correctness/SessionsReadAndWrite.cpp
@@ -105,7 +105,8 @@
         const std::size_t client = world.open(vm, "history");
         const SessionReply reply = world.ask(client, StatementKind::Read, "READ a");
         ASSERT_THAT(reply.rows_, SizeIs(1));
-        EXPECT_THAT(reply.rows_.front(), EndsWith(SessionWorld::memberId(vm).value())) << "idle members: that of the VM's own zone";
+        EXPECT_THAT(reply.rows_.front(), EndsWith(SessionWorld::memberId(vm).value()))
+            << "all members are idle, so the one in the VM's own zone should be used";
     }
     EXPECT_THAT(world.violations(), IsEmpty());
 }
--- a/test/correctness/StatementsArePlaced.cpp
+++ b/test/correctness/StatementsArePlaced.cpp
@@ -43,8 +43,8 @@
     EXPECT_EQ(placeStatement(std::vector{busy}).open_, std::nullopt);
 }
 
-// Load pattern: eight VMs lose power together, and each member holds their connections for three seconds more. With the whole share in use before, the
-// VMs that start again are refused until then; with half of it, as many again fit.
+// Eight VMs lose power together, and each member holds their dead connections for three more seconds. If the VMs had used their whole share before, the
+// restarted VMs would be refused until then; if they had used half of it, as many new connections fit.
 TEST(StatementsArePlaced, soThatVmsThatStartAgainFindRoom)
 {
     constexpr unsigned limit = 34;
@@ -54,5 +54,6 @@
     const unsigned ordinary = connectionsAllowed(plan, std::chrono::milliseconds(0));
     EXPECT_LE(2 * ordinary * vms, limit);
     EXPECT_EQ(connectionsAllowed(plan, std::chrono::milliseconds(40)), plan.most_) << "a burst may use the whole share";
-    EXPECT_EQ(connectionsAllowed(planConnections({.limit_ = 3, .vms_ = vms}), std::chrono::milliseconds(0)), 3U) << "a visit does not wait";
+    EXPECT_EQ(connectionsAllowed(planConnections({.limit_ = 3, .vms_ = vms}), std::chrono::milliseconds(0)), 3U)
+        << "a temporary connection is opened without delay";
 }
--- a/test/correctness/WaitsAreForecast.cpp
+++ b/test/correctness/WaitsAreForecast.cpp
@@ -10,19 +10,19 @@
 TEST(WaitsAreForecast, byTheLongestOfTheLastOutages)
 {
     OutageHistory history;
-    EXPECT_LT(outageLeft(history, Duration(0)).left_, milliseconds(700)) << "before the first, a guess that refuses nothing";
+    EXPECT_LT(outageLeft(history, Duration(0)).left_, milliseconds(700)) << "the default before the first outage must be too short to refuse statements";
     noteOutage(history, milliseconds(1200));
     noteOutage(history, milliseconds(2100));
     noteOutage(history, milliseconds(20));
-    EXPECT_EQ(outageLeft(history, milliseconds(600)).left_, milliseconds(1500)) << "a late heartbeat is no outage";
+    EXPECT_EQ(outageLeft(history, milliseconds(600)).left_, milliseconds(1500)) << "a delayed heartbeat must not count as an outage";
     for (int i = 0; i < 4; ++i) {
         noteOutage(history, milliseconds(1300));
     }
     EXPECT_EQ(outageLeft(history, milliseconds(600)).left_, milliseconds(700));
 }
 
-// Load pattern: a store that is away keeps a primary away for longer than any replacement did. Those who came as it began wait out their time, since it may end
-// at any moment; those who come once it has lasted for longer than they may wait are refused at once.
+// An unreachable store makes a primary unavailable for longer than any recorded replacement. Statements that arrive when the outage begins wait for their whole
+// timeout, since it may end at any moment; those that arrive after it has lasted longer than their timeout are refused at once.
 TEST(WaitsAreForecast, asUnknownOnceAnOutageIsLongerThanAnyBefore)
 {
     OutageHistory history;
@@ -34,37 +34,37 @@
     EXPECT_FALSE(isWorthWaiting(late, now + milliseconds(1900), milliseconds(2000), now));
 }
 
-// Load pattern: clients come at random during outages of 1.8 to 2.2 s, each with 780 ms for its statement. What is refused at once must be what would have been
-// held and refused: of those who could have been served less than a fifth are sent away, and of those who could not, less than a tenth are held.
+// Statements with a timeout of 780 ms arrive throughout outages of 1.8 to 2.2 s. Mainly those that could not be served in time should be refused at once: of
+// those that could be served, less than a fifth may be refused, and of those that could not, less than a tenth may be held.
 TEST(WaitsAreForecast, wellEnoughThatFewAreRefusedWhoCouldBeServed)
 {
     std::mt19937_64 random(1);
     std::uniform_int_distribution<int> length(1800, 2200);
     OutageHistory history;
     noteOutage(history, milliseconds(2000));
-    int served = 0;
-    int sentAwayWrongly = 0;
-    int lost = 0;
-    int heldInVain = 0;
+    int servable = 0;
+    int wronglyRefused = 0;
+    int unservable = 0;
+    int wronglyHeld = 0;
     for (int outage = 0; outage < 200; ++outage) {
-        const milliseconds ends(length(random));
+        const milliseconds duration(length(random));
         const Time start(std::chrono::seconds(10 * (outage + 1)));
-        for (milliseconds came(0); came < ends; came += milliseconds(10)) {
-            const bool canBeServed = ends - came < milliseconds(780);
-            const Time now = start + came;
-            const bool waits = isWorthWaiting(outageLeft(history, came), now + milliseconds(780), milliseconds(780), now);
-            served += canBeServed ? 1 : 0;
-            lost += canBeServed ? 0 : 1;
-            sentAwayWrongly += canBeServed && !waits ? 1 : 0;
-            heldInVain += !canBeServed && waits ? 1 : 0;
+        for (milliseconds arrival(0); arrival < duration; arrival += milliseconds(10)) {
+            const bool canBeServed = duration - arrival < milliseconds(780);
+            const Time now = start + arrival;
+            const bool waits = isWorthWaiting(outageLeft(history, arrival), now + milliseconds(780), milliseconds(780), now);
+            servable += canBeServed ? 1 : 0;
+            unservable += canBeServed ? 0 : 1;
+            wronglyRefused += canBeServed && !waits ? 1 : 0;
+            wronglyHeld += !canBeServed && waits ? 1 : 0;
         }
-        noteOutage(history, ends);
+        noteOutage(history, duration);
     }
-    EXPECT_LT(sentAwayWrongly, served / 5);
-    EXPECT_LT(heldInVain, lost / 10);
+    EXPECT_LT(wronglyRefused, servable / 5);
+    EXPECT_LT(wronglyHeld, unservable / 10);
 }
 
-// Load pattern: a queue of which 40 statements a second are started. The 20th of it waits half a second, the 200th five.
+// In a queue with a throughput of 40 statements a second, the 20th statement waits half a second and the 200th five seconds.
 TEST(WaitsAreForecast, byThePaceOfTheQueue)
 {
     QueueHistory history;
@@ -82,7 +82,8 @@
     EXPECT_EQ(stalled->left_, std::chrono::seconds(2));
 }
 
-// Load pattern: two statements a second, one of which waits for a moment. Its wait says nothing of a queue: the pace of starts is that of arrivals.
+// Statements are started every 200 ms, and another one then waits briefly. A short wait must not be taken for a queue, since the rate of starts is only the
+// rate of arrivals.
 TEST(WaitsAreForecast, notByThePaceOfArrivals)
 {
     QueueHistory history;
--- a/test/error/SessionConnectionsAreScarce.cpp
+++ b/test/error/SessionConnectionsAreScarce.cpp
@@ -10,16 +10,16 @@
 
 constexpr Duration startTime = std::chrono::seconds(4);
 constexpr Duration loadTime = std::chrono::seconds(10);
-/** Share of a route's operations in their aim where members have slots for all: those that miss it are the longest of the work itself. */
-constexpr double calmAim = 0.95;
-/** The same where work and openings take nearly all slots, so that queues at members take a part. */
-constexpr double fullAim = 0.85;
-/** Of the usual rates: work takes some 80% of the slots. */
-constexpr double rush = 1.2;
-/** Work alone takes 93% of the slots. */
-constexpr double nearlyFull = 1.5;
+/** Minimum fraction of a route's operations within their latency target while members have enough slots: the others miss it by their own execution time. */
+constexpr double normalTarget = 0.95;
+/** The same while statements and connection attempts occupy nearly all slots, so that queueing at members adds to the latency. */
+constexpr double nearCapacityTarget = 0.85;
+/** Multiple of the usual request rates at which statements occupy about 80% of the slots. */
+constexpr double highLoad = 1.2;
+/** Multiple at which statements alone occupy 93% of the slots. */
+constexpr double nearCapacityLoad = 1.5;
 
-/** One of eight groups behind \p vms VMs: members of 48 connections and six slots. */
+/** One of eight groups behind \p vms VMs; each member has 48 connections and six slots. */
 SessionWorldConfig manyVms(unsigned vms)
 {
     SessionWorldConfig config;
@@ -29,19 +29,19 @@
     return config;
 }
 
-/** What becomes of the load of all clients: shares in aim, as means of several seeds. */
-struct Day
+/** Result of a run: fractions of operations within their latency target, averaged over several seeds. */
+struct RunResult
 {
     double records_ = 0;
     double histories_ = 0;
     double checks_ = 0;
-    std::size_t refused_ = 0; ///< Connections, by members, in all.
+    std::size_t refused_ = 0; ///< Total number of connections that members refused.
     std::vector<std::string> violations_;
 };
 
-Day playDay(unsigned vms, double scale, unsigned seeds, const SessionPolicies &policies = {})
+RunResult runLoad(unsigned vms, double scale, unsigned seeds, const SessionPolicies &policies = {})
 {
-    Day day;
+    RunResult result;
     for (std::uint64_t seed = 1; seed <= seeds; ++seed) {
         SessionWorldConfig config = manyVms(vms);
         config.seed_ = seed;
@@ -53,22 +53,22 @@
         SessionLoad load(world, ledgerLoad(scale), vms, seed);
         load.run(loadTime);
         world.checkLogs();
-        day.records_ += load.count("ledger").shareInAim() / seeds;
-        day.histories_ += load.count("history").shareInAim() / seeds;
-        day.checks_ += load.count("dispatch").shareInAim() / seeds;
-        day.refused_ += world.logged(LogNumber::UpstreamConnectFailed).size();
-        day.violations_.insert(day.violations_.end(), world.violations().begin(), world.violations().end());
+        result.records_ += load.count("ledger").shareInAim() / seeds;
+        result.histories_ += load.count("history").shareInAim() / seeds;
+        result.checks_ += load.count("dispatch").shareInAim() / seeds;
+        result.refused_ += world.logged(LogNumber::UpstreamConnectFailed).size();
+        result.violations_.insert(result.violations_.end(), world.violations().begin(), world.violations().end());
     }
-    return day;
+    return result;
 }
 
-/** Each route has its share in aim, and no promise was broken. */
-void expectServed(const Day &day, double aim)
+/** Expects that each route has the fraction \p target within its latency target, and that no guarantee was violated. */
+void expectServed(const RunResult &result, double target)
 {
-    EXPECT_GE(day.records_, aim);
-    EXPECT_GE(day.histories_, aim);
-    EXPECT_GE(day.checks_, aim);
-    EXPECT_THAT(day.violations_, IsEmpty());
+    EXPECT_GE(result.records_, target);
+    EXPECT_GE(result.histories_, target);
+    EXPECT_GE(result.checks_, target);
+    EXPECT_THAT(result.violations_, IsEmpty());
 }
 
 class ManyVms : public TestWithParam<unsigned>
@@ -77,43 +77,46 @@
 
 } // namespace
 
-// Clients of 59 VMs ask for records at the primary, histories and checks at any member; a member takes 48 connections. On a quiet day not one of 6,633
-// operations at the primaries was served, and members refused 26,373 connections. Each VM kept one for statements and one for reports, which makes 118: the first
-// comers kept theirs, those at the primaries mostly for reports, and 16,488 statements were refused after 980 ms, each while its VM held authority over the primary.
+// Guards against VMs that hold all connections of a primary without using them. Clients of 59 VMs read records at the primary, and histories and checks at any
+// member; a member accepts 48 connections. If each VM keeps one connection for statements and one for reports, they need 118. The first VMs then hold all
+// connections, those to the primaries mostly for reports: under light load none of 6,633 operations at the primaries was served, members refused 26,373
+// connections, and 16,488 statements were refused after 980 ms although their VM held authority over the primary.
 TEST(SessionConnectionsAreScarce, everyRouteIsServedByFiftyNineVms)
 {
-    expectServed(playDay(59, 1, 3), calmAim);
+    expectServed(runLoad(59, 1, 3), normalTarget);
 }
 
-// The same with the rule of that day, a share of at least one connection for each VM: the load must show what it did to the records, or the test above proves nothing.
+// Verifies that the load of the test above reproduces the failure: with a share of at least one connection per VM, operations at the primary are not served.
 TEST(SessionConnectionsAreScarce, aShareOfOneForEachLeavesThePrimaryToReports)
 {
     SessionPolicies policies;
     policies.visits_ = false;
-    const Day day = playDay(59, 1, 1, policies);
-    EXPECT_LT(day.records_, 0.1);
-    EXPECT_GT(day.refused_, 1000U);
+    const RunResult result = runLoad(59, 1, 1, policies);
+    EXPECT_LT(result.records_, 0.1);
+    EXPECT_GT(result.refused_, 1000U);
 }
 
-// In a rush each operation at the primary comes from another VM and opens a connection there. Those before it still rested, reads that could go to replicas held the
-// others, and the primary refused the next as full; a VM that was refused waited for up to 320 ms, longer than the aim. With fixed rests and homes at the primary,
-// records fell to 0.73 in aim at 100 VMs, where 8 VMs serve 0.999.
+// Guards against connections to the primary that stay open too long under high load. Each operation at the primary comes from another VM, which opens a
+// connection. If earlier connections are still idle and reads that replicas could serve hold the others, the primary refuses the next one as full, and the
+// refused VM waits for up to 320 ms, longer than the latency target. With fixed idle times, and with VMs assigned to the primary, the fraction of record
+// operations within their target fell to 0.73 at 100 VMs, compared with 0.999 at 8 VMs.
 TEST_P(ManyVms, serveEveryRouteInARush)
 {
-    expectServed(playDay(GetParam(), rush, 3), calmAim);
+    expectServed(runLoad(GetParam(), highLoad, 3), normalTarget);
 }
 
-// The same while members have hardly a slot to spare. Few VMs have few connections, so statements wait at the VM, where records go first; behind many VMs they wait
-// at the member, first come first served.
+// The same while nearly all slots of the members are in use. Few VMs have few connections, so statements queue at the VM, ordered by priority with records
+// first. With many VMs they queue at the member, which serves them in order of arrival.
 TEST_P(ManyVms, serveRecordsInARush)
 {
-    expectServed(playDay(GetParam(), nearlyFull, 3), fullAim);
+    expectServed(runLoad(GetParam(), nearCapacityLoad, 3), nearCapacityTarget);
 }
 INSTANTIATE_TEST_SUITE_P(SessionConnectionsAreScarce, ManyVms, Values(8U, 16U, 24U, 25U, 59U, 100U));
 
-// Ever more VMs before the same members: each has fewer operations, and a connection that rests is less likely to be used again by the VM that holds it. With rests of
-// 1 s and 250 ms, right for 77 VMs, no connection was left, and records fell to 0.48 in aim.
+// Guards against idle times that are too long for the number of VMs. With more VMs in front of the same members, each has fewer operations, and an idle
+// connection is less likely to be reused by the VM that holds it. With fixed idle times of 1 s and 250 ms, which suit 77 VMs, no connection was left, and the
+// fraction of record operations within their target fell to 0.48.
 TEST(SessionConnectionsAreScarce, twoHundredVmsServeACalmDay)
 {
-    expectServed(playDay(200, 1, 1), fullAim);
+    expectServed(runLoad(200, 1, 1), nearCapacityTarget);
 }
--- a/test/error/SessionKeysAreTakenAway.cpp
+++ b/test/error/SessionKeysAreTakenAway.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr Duration startTime = std::chrono::seconds(3);
-/** A configuration is in force everywhere well within this. */
+/** Time within which a configuration is active on all VMs. */
 constexpr Duration spreadTime = std::chrono::seconds(2);
 
 SessionWorldConfig threeOrganisations()
@@ -19,7 +19,7 @@
     return config;
 }
 
-void takeKeyAway(SessionWorld &world, unsigned organisation)
+void revokeKey(SessionWorld &world, unsigned organisation)
 {
     world.newConfiguration(
         [=](SessionConfiguration &configuration) { configuration.organisations_->keys_.erase(digestOf(SessionWorld::keyOf(organisation))); });
@@ -27,7 +27,7 @@
 
 } // namespace
 
-// Guards against sessions that outlive their key.
+// Guards against sessions that stay open after their key was revoked.
 TEST(SessionKeysAreTakenAway, anOpenSessionIsClosedAndItsClientRefused)
 {
     SessionWorld world(threeOrganisations());
@@ -35,7 +35,7 @@
     const std::size_t client = world.open(0, "ledger", SessionWorld::keyOf(1));
     const std::size_t other = world.open(0, "ledger", SessionWorld::keyOf(2));
     EXPECT_EQ(world.ask(client, StatementKind::Write, "WRITE a 1").code_, ReplyCode::None);
-    takeKeyAway(world, 1);
+    revokeKey(world, 1);
     world.run(spreadTime);
     EXPECT_TRUE(world.client(client).closed_);
     const std::size_t again = world.open(1, "ledger", SessionWorld::keyOf(1));
@@ -45,7 +45,7 @@
     EXPECT_THAT(world.violations(), IsEmpty());
 }
 
-// Guards against a transaction that goes on after its key was taken away, and against one that is said to be aborted and was committed.
+// Guards against a transaction that continues after its key was revoked, and against one that is reported as aborted but was committed.
 TEST(SessionKeysAreTakenAway, anOpenTransactionIsAborted)
 {
     SessionWorld world(threeOrganisations());
@@ -53,7 +53,7 @@
     const std::size_t client = world.open(0, "ledger", SessionWorld::keyOf(1));
     EXPECT_EQ(world.ask(client, StatementKind::Begin).code_, ReplyCode::None);
     EXPECT_EQ(world.ask(client, StatementKind::Write, "WRITE a 1").code_, ReplyCode::None);
-    takeKeyAway(world, 1);
+    revokeKey(world, 1);
     world.run(spreadTime);
     EXPECT_EQ(world.ask(client, StatementKind::Commit).code_, ReplyCode::Aborted);
     world.run(spreadTime);
@@ -62,7 +62,7 @@
     EXPECT_THAT(world.violations(), IsEmpty());
 }
 
-// Guards against statements that run for the organisation that held a key before.
+// Guards against statements that run for the previous organisation of a key.
 TEST(SessionKeysAreTakenAway, aKeyThatMovesServesItsNewHolderOnly)
 {
     SessionWorld world(threeOrganisations());
@@ -76,10 +76,10 @@
     world.run(std::chrono::milliseconds(200));
     ASSERT_NE(world.answerTo(client, id), nullptr);
     EXPECT_EQ(world.answerTo(client, id)->code_, ReplyCode::None);
-    EXPECT_THAT(world.violations(), ElementsAre(HasSubstr("ran for org-2"))); // The world takes a key for its first holder's.
+    EXPECT_THAT(world.violations(), ElementsAre(HasSubstr("ran for org-2"))); // The simulation attributes a key to its first holder.
 }
 
-// Guards against a client that is refused for good though its key was added a moment ago: the VM has heard of a newer configuration and does not have it yet.
+// Guards against refusing a client whose key was just added, while the VM knows of a newer configuration that it has not received yet.
 TEST(SessionKeysAreTakenAway, aKeyThatIsNewerThanTheConfigurationWaitsForIt)
 {
     SessionWorld world(threeOrganisations());
@@ -95,7 +95,7 @@
     EXPECT_TRUE(world.client(client).open_);
 }
 
-// Guards against a VM that the store turns away and that goes on with a key that the others no longer take.
+// Guards against a VM without access to the store that still accepts a key which the other VMs no longer accept.
 TEST(SessionKeysAreTakenAway, aVmWithoutTheStoreLearnsItFromTheOthers)
 {
     SessionWorld world(threeOrganisations());
@@ -104,12 +104,12 @@
     world.run(std::chrono::seconds(2));
     const std::size_t client = world.open(0, "ledger", SessionWorld::keyOf(1));
     EXPECT_EQ(world.ask(client, StatementKind::Write, "WRITE a 1").code_, ReplyCode::None);
-    takeKeyAway(world, 1);
+    revokeKey(world, 1);
     world.run(std::chrono::seconds(3));
     EXPECT_TRUE(world.client(client).closed_);
 }
 
-// Guards against a key, or its digest, in a log line.
+// Guards against log lines that contain a key or its digest.
 TEST(SessionKeysAreTakenAway, noLogLineShowsAKey)
 {
     SessionWorld world(threeOrganisations());
@@ -117,7 +117,7 @@
     const std::size_t client = world.open(0, "ledger", SessionWorld::keyOf(1));
     world.open(0, "ledger", "key-of-nobody");
     EXPECT_EQ(world.ask(client, StatementKind::Write, "WRITE a 1").code_, ReplyCode::None);
-    takeKeyAway(world, 1);
+    revokeKey(world, 1);
     world.run(spreadTime);
     EXPECT_THAT(world.logText(), Not(HasSubstr(SessionWorld::keyOf(1))));
     EXPECT_THAT(world.logText(), Not(HasSubstr("key-of-nobody")));
--- a/test/error/SessionMemberLeaves.cpp
+++ b/test/error/SessionMemberLeaves.cpp
@@ -6,8 +6,8 @@
 using namespace Figward::Testing;
 using namespace testing;
 
-// A replica is to be replaced and says that it leaves. Planners go on reading, more than the other members have idle connections for.
-// The replica gets nothing new once the VMs know, even where its connection is the only idle one: work would be cut when it ends.
+// Guards against statements that are aborted because they were sent to a leaving replica. The replica announces that it leaves, while clients send more reads
+// than the other members have idle connections for. It must get no new statements once the VMs know, even if its connection is the only idle one.
 TEST(SessionMemberLeaves, aReplicaGetsNoNewWork)
 {
     SessionWorldConfig config;
--- a/test/error/SessionQuotasHold.cpp
+++ b/test/error/SessionQuotasHold.cpp
@@ -13,14 +13,14 @@
 
 constexpr Duration startTime = std::chrono::seconds(6);
 constexpr Duration window = std::chrono::seconds(5);
-/** Over the rate and the burst, as the users allow it for what no VM can see. */
-constexpr double overage = 0.1;
+/** Accepted excess over rate and burst, as a fraction: the requirement tolerates it for operations that no VM can count in time. */
+constexpr double toleratedExcess = 0.1;
 constexpr double slack = 20;
 
-/** What an organisation may run in a window. */
+/** Maximum number of operations that an organisation may run in a window. */
 double allowed(const OrganisationLimits &limits)
 {
-    return (limits.perSecond_ * std::chrono::duration<double>(window).count() + limits.burst_) * (1 + overage) + slack;
+    return (limits.perSecond_ * std::chrono::duration<double>(window).count() + limits.burst_) * (1 + toleratedExcess) + slack;
 }
 
 SessionWorldConfig quotaWorld(unsigned vms, OrganisationLimits limits, std::uint64_t seed = 1)
@@ -34,7 +34,7 @@
     return config;
 }
 
-/** Clients of one organisation: single reads at random VMs, each on a session of its own, not asked again. */
+/** Load of one organisation: single reads at random VMs, each on its own session and without retries. */
 class Demand
 {
 public:
@@ -47,7 +47,7 @@
     {
     }
 
-    /** Lets operations come until \p end. */
+    /** Generates operations until \p end. */
     void runUntil(Time end)
     {
         const double pause = std::exponential_distribution<double>(perSecond_)(random_);
@@ -71,7 +71,7 @@
         return asked_.size();
     }
 
-    /** Of those asked, the operations that one bucket for all VMs, full at first, would admit. */
+    /** Number of the requested operations that a single token bucket for all VMs, initially full, would admit. */
     [[nodiscard]] std::size_t admissible(const OrganisationLimits &limits) const
     {
         const BucketRate rate{limits.perSecond_, limits.burst_};
@@ -84,7 +84,7 @@
         return admitted;
     }
 
-    /** Of those asked, the operations that were served. */
+    /** Number of the requested operations that were served. */
     [[nodiscard]] std::size_t served() const
     {
         return static_cast<std::size_t>(std::ranges::count_if(asked_, [&](const auto &entry) {
@@ -103,7 +103,10 @@
     std::vector<Time> askedAt_;
 };
 
-/** Plays ten seconds of one organisation that asks five times its rate, with \p fault in between; returns the most that ran in a window. */
+/**
+ * Simulates one organisation that requests five times its rate for twelve seconds, and injects \p fault after four; returns the maximum number of operations
+ * run in a window.
+ */
 template<typename Fault>
 std::size_t mostUnderFault(unsigned vms, const OrganisationLimits &limits, const Fault &fault)
 {
@@ -123,7 +126,7 @@
 
 } // namespace
 
-// Guards against VMs that each allow the whole rate, and against a hot organisation that costs the others.
+// Guards against VMs that each grant the full rate, and against an organisation over its limit that slows down the others.
 TEST_P(Fleets, aHotOrganisationStaysWithinItsRateAndCostsTheOthersNothing)
 {
     const OrganisationLimits limits{40, 40};
@@ -142,7 +145,7 @@
 }
 INSTANTIATE_TEST_SUITE_P(SessionQuotasHold, Fleets, Values(3U, 8U, 24U, 66U));
 
-// Guards against parts of a small rate that no operation fits into: the organisation asks 0.6 of its rate, spread over all VMs.
+// Guards against splitting a small rate into shares that are too small for any operation: the organisation requests 0.6 of its rate, spread over all VMs.
 TEST(SessionQuotasHold, aSmallOrganisationUnderItsLimitIsServed)
 {
     const OrganisationLimits limits{5, 5};
@@ -154,7 +157,7 @@
     EXPECT_GE(static_cast<double>(small.served()), 0.97 * static_cast<double>(small.admissible(limits)));
 }
 
-// The same with an equal part of the rate for each VM: the demand must show what limiters are for, or the test above proves nothing.
+// Verifies that the load of the test above reproduces the failure: with an equal share of the rate for each VM, operations within the limit are refused.
 TEST(SessionQuotasHold, partsForEachVmRefuseASmallOrganisation)
 {
     const OrganisationLimits limits{5, 5};
@@ -169,12 +172,12 @@
     EXPECT_LT(static_cast<double>(small.served()), 0.9 * static_cast<double>(small.asked()));
 }
 
-// Guards against two sides of a cut that each grant the whole rate.
+// Guards against a network partition in which both sides grant the full rate.
 TEST(SessionQuotasHold, aZoneThatIsCutOffHasItsPartOnly)
 {
     for (const unsigned vms : {9U, 24U}) {
         const OrganisationLimits limits{60, 60};
-        const std::size_t most = mostUnderFault(vms, limits, [&](SessionWorld &world) {
+        const std::size_t maxOperations = mostUnderFault(vms, limits, [&](SessionWorld &world) {
             for (unsigned a = 0; a < vms; a += 3) {
                 for (unsigned b = 0; b < vms; ++b) {
                     if (b % 3 != 0) {
@@ -183,16 +186,16 @@
                 }
             }
         });
-        EXPECT_LE(static_cast<double>(most), allowed(limits)) << vms;
+        EXPECT_LE(static_cast<double>(maxOperations), allowed(limits)) << vms;
     }
 }
 
-// Guards against a VM that hears nobody and takes itself for the limiter of its zone.
+// Guards against an isolated VM that receives no heartbeats, assumes that it is the limiter of its zone, and grants the full share.
 TEST(SessionQuotasHold, vmsThatAreCutOffAloneHaveTheirPartsOnly)
 {
     const unsigned vms = 24;
     const OrganisationLimits limits{60, 60};
-    const std::size_t most = mostUnderFault(vms, limits, [&](SessionWorld &world) {
+    const std::size_t maxOperations = mostUnderFault(vms, limits, [&](SessionWorld &world) {
         for (unsigned alone = 0; alone < vms; alone += 2) {
             for (unsigned other = 0; other < vms; ++other) {
                 if (other != alone) {
@@ -201,15 +204,15 @@
             }
         }
     });
-    EXPECT_LE(static_cast<double>(most), allowed(limits));
+    EXPECT_LE(static_cast<double>(maxOperations), allowed(limits));
 }
 
-// Guards against tokens that are granted twice by VMs which start with full buckets.
+// Guards against tokens granted twice because restarted VMs begin with full buckets.
 TEST(SessionQuotasHold, vmsThatAllStartAgainGrantNothingTwice)
 {
     const unsigned vms = 24;
     const OrganisationLimits limits{60, 60};
-    const std::size_t most = mostUnderFault(vms, limits, [&](SessionWorld &world) {
+    const std::size_t maxOperations = mostUnderFault(vms, limits, [&](SessionWorld &world) {
         for (unsigned vm = 0; vm < vms; ++vm) {
             world.killVm(vm);
         }
@@ -218,10 +221,10 @@
             world.startVm(vm);
         }
     });
-    EXPECT_LE(static_cast<double>(most), allowed(limits));
+    EXPECT_LE(static_cast<double>(maxOperations), allowed(limits));
 }
 
-// Guards against an organisation that nobody serves any more when its limiter is gone, and against two limiters of one zone.
+// Guards against an organisation that is no longer served after its limiter was killed, and against two limiters in one zone.
 TEST(SessionQuotasHold, aLimiterThatIsKilledIsReplacedWithinItsRate)
 {
     const unsigned vms = 24;
@@ -238,7 +241,7 @@
     EXPECT_GE(static_cast<double>(demand.served()), 0.97 * static_cast<double>(demand.asked()));
 }
 
-// Guards against buckets that are still as full as the rate before allowed.
+// Guards against buckets that still hold the tokens of the previous, higher rate.
 TEST(SessionQuotasHold, aLowerRateHoldsFromItsConfigurationOn)
 {
     const unsigned vms = 24;
@@ -257,7 +260,7 @@
     EXPECT_LE(static_cast<double>(times.size() - until), allowed(after));
 }
 
-// Random demands, cuts, kills and starts: the sum over all VMs stays within the bound in every window.
+// Under random load, partitions, kills and restarts, the operations of all VMs together must stay within the bound in every window.
 TEST(SessionQuotasHold, underRandomFaultsTheSumStaysWithinTheBound)
 {
     const unsigned vms = 15;
@@ -281,8 +284,8 @@
             }
             world.run(std::chrono::milliseconds(1200));
         }
-        const std::size_t most = world.mostOperations(SessionWorld::organisationId(0), window);
-        EXPECT_LE(static_cast<double>(most), allowed(limits)) << "seed " << seed << ", rate " << limits.perSecond_ << ", burst " << limits.burst_;
+        const std::size_t maxOperations = world.mostOperations(SessionWorld::organisationId(0), window);
+        EXPECT_LE(static_cast<double>(maxOperations), allowed(limits)) << "seed " << seed << ", rate " << limits.perSecond_ << ", burst " << limits.burst_;
         EXPECT_THAT(world.violations(), IsEmpty()) << "seed " << seed;
     }
 }
--- a/test/error/SessionRefusesAtOnce.cpp
+++ b/test/error/SessionRefusesAtOnce.cpp
@@ -11,7 +11,7 @@
 constexpr Duration startTime = std::chrono::seconds(3);
 constexpr Duration step = std::chrono::milliseconds(10);
 
-/** A platform whose promotions take longer than a statement may: two seconds, against one. */
+/** A platform whose promotions take two seconds, which is longer than the statement timeout of one second. */
 SessionWorldConfig slowPromotions()
 {
     SessionWorldConfig config;
@@ -19,7 +19,7 @@
     return config;
 }
 
-/** Lets time pass until the world has logged one more event of \p number. */
+/** Runs the simulation until one more event of \p number is logged. */
 void awaitLog(SessionWorld &world, LogNumber number)
 {
     const std::size_t before = world.logged(number).size();
@@ -28,7 +28,7 @@
     }
 }
 
-/** Asks for a write and says how it ended and how long that took. */
+/** Sends a write; returns the reply and the time until it arrived. */
 std::pair<SessionReply, Duration> write(SessionWorld &world, unsigned vm)
 {
     const std::size_t client = world.open(vm, "ledger");
@@ -44,15 +44,15 @@
 
 } // namespace
 
-// A clerk writes while the primary is being replaced, which takes two seconds, and a statement may take one. Just after the old primary was revoked the write
-// cannot be done in time: it is refused at once, with the time after which to come back. Half a second before the successor leads, it waits and is done.
-// Held until its timeout, the first would have cost its client a second, and then been refused all the same.
+// Guards against holding a write until its timeout when it cannot succeed. A replacement of the primary takes two seconds, and a statement may take one. A
+// write just after the old primary was revoked must be refused at once, with a retry delay; held until its timeout, it would cost its client a second and be
+// refused anyway. A write half a second before the new primary is available must wait and succeed.
 TEST(SessionRefusesAtOnce, whatAReplacementCannotServeInTime)
 {
     SessionWorld world(slowPromotions());
     world.run(startTime);
     world.crashMember(0);
-    awaitLog(world, LogNumber::PrimaryInForce); // The first replacement shows how long one takes.
+    awaitLog(world, LogNumber::PrimaryInForce); // The first replacement provides the expected duration.
     world.restartMember(0);
     world.run(std::chrono::seconds(3));
     const unsigned second = world.group().leader().id_ == SessionWorld::memberId(1) ? 1 : 2;
@@ -66,14 +66,14 @@
     world.run(std::chrono::milliseconds(1300));
     const auto [late, lateTime] = write(world, 1);
     EXPECT_EQ(late.code_, ReplyCode::None) << late.text_;
-    EXPECT_GT(toMillis(lateTime), 100) << "it waited for the successor";
+    EXPECT_GT(toMillis(lateTime), 100) << "the write should have waited for the new primary";
     world.checkLogs();
     EXPECT_THAT(world.violations(), IsEmpty());
 }
 
-// All VMs lose authority when the leader dies while the store is away. Nobody knows for how long: writes wait at first, and once the outage has lasted
-// as long as a write may take they are refused at once.
-TEST(SessionRefusesAtOnce, whatNobodyKnowsAnEndOf)
+// All VMs lose authority over the primary if the leader dies while the store is unreachable, for an unknown time. Writes wait at first; once the outage has
+// lasted as long as the statement timeout, they must be refused at once.
+TEST(SessionRefusesAtOnce, writesDuringAnOutageOfUnknownLength)
 {
     SessionWorld world;
     world.run(startTime);
@@ -88,8 +88,8 @@
     EXPECT_THAT(world.violations(), IsEmpty());
 }
 
-// A process that is told to stop has a client that goes on using its connection, and the primary has just been lost. Its last write is refused before the process
-// ends, instead of being cut with it: the client then knows that nothing was run.
+// A client continues to use its connection to a process that is shutting down, and the primary has just been lost. Its last write must be refused before the
+// process ends, so that the client knows that it did not run; if the connection is closed without an answer, the client cannot know.
 TEST(SessionRefusesAtOnce, whatWouldBeCutByTheEndOfTheProcess)
 {
     SessionWorld world(slowPromotions());
@@ -106,5 +106,5 @@
         world.run(step);
         world.cutVmFromMember(vm, 0, true);
     }
-    EXPECT_NE(world.answerTo(client, last), nullptr) << "cut without an answer";
+    EXPECT_NE(world.answerTo(client, last), nullptr) << "the connection was closed without an answer";
 }
