--- a/test/correctness/DelegatesAreChosen.cpp
+++ b/test/correctness/DelegatesAreChosen.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-/** \p count VMs over five availability zones in turn. */
+/** \p count VMs, distributed evenly over five availability zones. */
 std::vector<DelegateCandidate> fleet(unsigned count)
 {
     std::vector<DelegateCandidate> vms;
@@ -42,7 +42,7 @@
     EXPECT_EQ(chooseDelegates(vms, 1), delegates);
 }
 
-// The loss of a delegate makes one other VM of its zone a delegate, and changes nothing else: all that others lead and ask stays where it is.
+// If a delegate is lost, one other VM of its zone becomes a delegate and nothing else changes, so that the other delegates keep their groups and reads.
 TEST(DelegatesAreChosen, andOneTakesThePlaceOfALostOne)
 {
     std::vector<DelegateCandidate> vms = fleet(295);
@@ -61,7 +61,7 @@
     EXPECT_THAT(chooseDelegates({}, 2), IsEmpty());
 }
 
-// 690 groups led by 530 VMs of nine zones: a delegate leads about eight.
+// 690 groups over nine zones (530 VMs): each delegate leads about eight.
 TEST(DelegatesAreChosen, soManyThatEachLeadsAFewGroups)
 {
     EXPECT_EQ(leadersPerZone(20, 5), 1U);
--- a/test/correctness/HeartbeatsArePaced.cpp
+++ b/test/correctness/HeartbeatsArePaced.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-/** Heartbeats a second of all VMs, the first \p leaders of which lead groups. */
+/** Heartbeats a second sent by all VMs, of which the first \p leaders lead groups. */
 double heartbeatsPerSecond(unsigned vms, unsigned leaders)
 {
     double rate = 0;
@@ -38,8 +38,8 @@
     EXPECT_EQ(heartbeatIntervalOf({VmId(1), VmId(2), 8, false}), heartbeatInterval) << "few VMs tell each other all";
 }
 
-// Load pattern: heartbeats from all to all were 23,400 a second at 77 VMs. Eight leaders, a few close pairs and the rest seldom stay below half of that, and
-// at 300 VMs with as many leaders below an eighth of the 359,000 that all to all would be.
+// Heartbeats between all pairs would be 23,400 a second at 77 VMs. With eight leaders and a few random pairs at the short interval, and all other pairs at the
+// long one, the rate stays below half of that, and at 300 VMs with as many leaders below an eighth of the 359,000 of all pairs.
 TEST(HeartbeatsArePaced, soThatTheyDoNotGrowWithTheSquareOfTheVms)
 {
     EXPECT_LT(heartbeatsPerSecond(77, 8), 23'400.0 / 2);
--- a/test/error/SessionConfigurationIsLate.cpp
+++ b/test/error/SessionConfigurationIsLate.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr Duration startTime = std::chrono::seconds(4);
-/** A confirmed configuration is in force everywhere by then. */
+/** Time within which a confirmed configuration must be active on every VM. */
 constexpr Duration applyBound = std::chrono::seconds(3);
 
 ConfigVersion versionAt(SessionWorld &world, unsigned vm)
@@ -17,7 +17,7 @@
     return world.vm(vm).sessions_->configuration_->version_;
 }
 
-/** A VM that \p vm asks for its configuration at present, and none of \p others. */
+/** VM that \p vm is currently asking for its configuration, other than \p others. */
 std::optional<unsigned> askedBy(SessionWorld &world, unsigned vm, const std::set<unsigned> &others)
 {
     for (const auto &[id, call] : world.vm(vm).sessions_->calls_) {
@@ -29,7 +29,7 @@
     return std::nullopt;
 }
 
-/** Lets time pass until \p vm asks a VM other than \p others for a configuration, and returns that one. */
+/** Runs until \p vm asks a VM other than \p others for a configuration, and returns that VM. */
 std::optional<unsigned> runUntilItAsks(SessionWorld &world, unsigned vm, const std::set<unsigned> &others = {})
 {
     const Time end = world.now() + applyBound;
@@ -41,7 +41,7 @@
 
 } // namespace
 
-// Guards against a wait for the VM that told of a change and then stands still, while all others have it.
+// Guards against waiting for a VM that announced a new configuration and was then paused, while all other VMs have it.
 TEST(SessionConfigurationIsLate, notBehindAVmThatToldOfItAndStandsStill)
 {
     SessionWorldConfig config;
@@ -51,14 +51,14 @@
     world.cutVmFromStore(7, true);
     world.newConfiguration([](SessionConfiguration &) {});
     const Time confirmed = world.now();
-    const std::optional<unsigned> teller = runUntilItAsks(world, 7);
-    ASSERT_TRUE(teller.has_value());
-    world.freezeVm(*teller, true);
+    const std::optional<unsigned> newerPeer = runUntilItAsks(world, 7);
+    ASSERT_TRUE(newerPeer.has_value());
+    world.freezeVm(*newerPeer, true);
     world.run(confirmed + applyBound - world.now());
     EXPECT_EQ(versionAt(world, 7), ConfigVersion(5));
 }
 
-// Guards against the same where the one that is asked next stands still, too.
+// Guards against the same failure if the VMs that are asked next are paused as well.
 TEST(SessionConfigurationIsLate, notBehindSeveralVmsThatStandStill)
 {
     SessionWorldConfig config;
@@ -70,16 +70,17 @@
     const Time confirmed = world.now();
     std::set<unsigned> frozen;
     while (frozen.size() < 3) {
-        const std::optional<unsigned> teller = runUntilItAsks(world, 7, frozen);
-        ASSERT_TRUE(teller.has_value());
-        frozen.insert(*teller);
-        world.freezeVm(*teller, true);
+        const std::optional<unsigned> newerPeer = runUntilItAsks(world, 7, frozen);
+        ASSERT_TRUE(newerPeer.has_value());
+        frozen.insert(*newerPeer);
+        world.freezeVm(*newerPeer, true);
     }
     world.run(confirmed + applyBound - world.now());
     EXPECT_EQ(versionAt(world, 7), ConfigVersion(5));
 }
 
-// Guards against a check of the store that waits for one kept connection after the other, when all of them went silent at once and watches with them.
+// Guards against a check of the store that tries one kept connection after the other when all of them, including those of the watches, have stopped responding
+// at once.
 TEST(SessionConfigurationIsLate, notBehindConnectionsThatWentSilent)
 {
     SessionWorld world;
@@ -95,7 +96,8 @@
     }
 }
 
-// Guards against the store's silence towards one VM that starts with all others: it takes its first configuration from one of them.
+// Guards against a VM without a configuration: the store does not answer it while it starts together with all others. It reads its first configuration from one
+// of them.
 TEST(SessionConfigurationIsLate, notAtAVmThatStartsWhileTheStoreIsSilentToIt)
 {
     SessionWorld world;
@@ -112,7 +114,8 @@
     EXPECT_EQ(versionAt(world, 2), ConfigVersion(3));
 }
 
-// Guards against taking the word of a VM that has a newer configuration for a check of the one that this VM has: it never asked the store by itself then.
+// Guards against counting another VM's check of a newer configuration as a check of the one this VM has, after which this VM would never ask the store by
+// itself.
 TEST(SessionConfigurationIsLate, isNotTakenForCheckedWhereItLacks)
 {
     SessionWorld world;
@@ -126,12 +129,12 @@
     EXPECT_LT(*world.vm(3).sessions_->schedule_.configurationCheck_.askedAt_, confirmed);
 }
 
-// Guards against a heartbeat that waited at a VM which stood still, and made the check that it told of newer than it was.
+// Guards against a heartbeat that was delayed at a paused VM and makes the check that it reports appear more recent than it was.
 TEST(SessionConfigurationIsLate, notByAHeartbeatThatWaited)
 {
     SessionWorld world;
     world.run(startTime);
-    // Each VM that passes a check's age on adds the time that a heartbeat takes.
+    // Each VM that passes on a check's age adds the transit time of a heartbeat.
     const Time lastCheck = world.now() + std::chrono::milliseconds(300);
     world.storeDown(true);
     world.run(std::chrono::milliseconds(50));
@@ -144,7 +147,7 @@
     EXPECT_LE(*world.vm(0).sessions_->schedule_.configurationCheck_.askedAt_, lastCheck);
 }
 
-// Guards against refusing a database that was added, by a VM that knows of a newer configuration and is about to have it.
+// Guards against refusing a session for an added database at a VM that knows of a newer configuration and is about to receive it.
 TEST(SessionConfigurationIsLate, isWaitedForByASessionOfAnAddedDatabase)
 {
     SessionWorld world;
@@ -163,7 +166,7 @@
     EXPECT_TRUE(world.client(client).open_);
 }
 
-// Guards against holding sessions of a database that does not exist for long, while a newer configuration is known of and cannot be had.
+// Guards against keeping a session for a nonexistent database waiting for long while a newer configuration is known of but cannot be read.
 TEST(SessionConfigurationIsLate, holdsNoSessionForLong)
 {
     SessionWorld world;
@@ -177,7 +180,7 @@
     EXPECT_TRUE(world.client(client).refused_);
 }
 
-// Guards against events that cannot be read, where VMs are many and check by events only: the whole object was never read.
+// Guards against watch events that cannot be parsed in a large fleet, which checks by events only: no VM would ever read the complete object.
 TEST(SessionConfigurationIsLate, notByEventsThatCannotBeRead)
 {
     SessionWorldConfig config;
@@ -209,7 +212,7 @@
     }
 }
 
-// Guards against reads of the whole that follow each other for as long as nothing changes: the revision of the object alone may be older than the store's history, and a watch
+// Guards against complete reads that repeat for as long as nothing changes: the revision of the object alone may be older than the store's history, and a watch
 // from there is refused at once.
 TEST(SessionConfigurationIsLate, isNotReadAgainAndAgainAfterTheHistoryIsGone)
 {
@@ -221,13 +224,14 @@
         const auto made = [&](const std::string &kind) { return world.storeCalls().at(kind) - before.at(kind); };
         return made("read configuration") + made("watch configuration");
     };
-    const std::uint64_t calm = callsInTenSeconds();
+    const std::uint64_t idleCalls = callsInTenSeconds();
     world.dropHistory();
     world.run(std::chrono::seconds(1));
-    EXPECT_LE(callsInTenSeconds(), calm + 4) << "one call more of each VM";
+    EXPECT_LE(callsInTenSeconds(), idleCalls + 4) << "one call more of each VM";
 }
 
-// Guards against a check that hears nothing of a change that was made, and moves on behind it: the one VM that the store answers did not find it again.
+// Guards against a check that does not report a change already made and continues from a later revision: the only VM that the store answers would never find
+// the change.
 TEST(SessionConfigurationIsLate, notByAChangeThatACheckHeardNothingOf)
 {
     SessionWorldConfig config;
@@ -241,7 +245,7 @@
     world.run(std::chrono::seconds(3));
     world.watchesAreSilent(true);
     world.newConfiguration([](SessionConfiguration &) {});
-    // Longer than the one VM that is no leader waits before it checks.
+    // Longer than the delay before a VM that is not a leader makes a check.
     world.run(std::chrono::milliseconds(3500));
     world.watchesAreSilent(false);
     world.run(std::chrono::seconds(4));
--- a/test/error/SessionLeaderIsLostByMany.cpp
+++ b/test/error/SessionLeaderIsLostByMany.cpp
@@ -11,8 +11,8 @@
 namespace {
 
 constexpr Duration startTime = std::chrono::seconds(5);
-/** Until the claim of a leader that died is over, and another VM leads. */
-constexpr Duration claimOver = std::chrono::seconds(10);
+/** Time until the claim of a dead leader has expired and another VM leads. */
+constexpr Duration claimExpiry = std::chrono::seconds(10);
 
 SessionWorldConfig fleet(unsigned vms)
 {
@@ -28,7 +28,7 @@
     return found == world.storeCalls().end() ? 0 : found->second;
 }
 
-/** Some running VM other than \p except. */
+/** A random running VM other than \p except. */
 unsigned someVm(const SessionWorld &world, unsigned vms, std::mt19937_64 &random, unsigned except)
 {
     unsigned vm = static_cast<unsigned>(random() % vms);
@@ -44,8 +44,8 @@
 
 } // namespace
 
-// The VM that leads the group dies, and its claim holds for 8 s. Guards against every VM asking the store for its authority three times a second meanwhile, some 1,400 calls of 60 VMs: delegates ask for
-// their zones, in fewer than three calls a VM, and writes go on at all VMs.
+// The VM that leads the group dies, and its claim remains valid for 8 s. Guards against every VM reading the store for its authority three times a second
+// meanwhile, about 1,400 calls of 60 VMs. Delegates read on behalf of their zones, with fewer than three calls per VM, and writes continue at all VMs.
 TEST(SessionLeaderIsLostByMany, andTheStoreIsAskedByDelegatesOnly)
 {
     constexpr unsigned vms = 60;
@@ -55,7 +55,7 @@
     const std::uint64_t before = claimReads(world);
     world.killVm(lost);
     std::mt19937_64 random(1);
-    const Time end = world.now() + claimOver;
+    const Time end = world.now() + claimExpiry;
     unsigned refused = 0;
     unsigned asked = 0;
     while (world.now() < end) {
@@ -70,7 +70,8 @@
     EXPECT_THAT(world.violations(), IsEmpty());
 }
 
-// A fleet starts for the first time. Guards against leaders that are whoever started first: heartbeats of a leader go to all VMs four times a second.
+// A fleet starts for the first time. Guards against groups being led by whichever VMs started first, rather than by the few delegates: a leader sends
+// heartbeats to all VMs four times a second.
 TEST(SessionLeaderIsLostByMany, whoAreDelegatesFromTheStart)
 {
     SessionWorldConfig config = fleet(60);
@@ -82,11 +83,12 @@
         ASSERT_TRUE(world.leader(group).has_value()) << "group " << group;
         leaders.insert(*world.leader(group));
     }
-    EXPECT_LE(leaders.size(), 6U); // A delegate and its spare in each of three zones.
+    EXPECT_LE(leaders.size(), 6U); // A delegate and a spare in each of three zones.
 }
 
-// Leaders and delegates die and freeze, VMs lose the store, the primary crashes and comes back, in any order and at once, while clients write and read. Guards against authority that is passed on
-// and outlives a revocation: a write acknowledged by the old primary after its replacement, or a read there that lacks one.
+// Leaders and delegates are killed or paused, VMs lose the store, and the primary crashes and returns, in any order and concurrently, while clients write and
+// read. Guards against authority that delegates pass on outliving a revocation: the old primary would acknowledge a write after its replacement, or serve a
+// read that lacks one.
 TEST_P(ManyVmsUnderFaults, breakNoPromise)
 {
     constexpr unsigned vms = 24;
--- a/test/error/SessionPrimaryIsLost.cpp
+++ b/test/error/SessionPrimaryIsLost.cpp
@@ -10,7 +10,7 @@
 
 constexpr Duration startTime = std::chrono::seconds(3);
 
-/** Time until a write by a fresh session at \p vm succeeds, clients asking again as they are told. */
+/** Time until a write by a new session at \p vm succeeds, with the client retrying as instructed. */
 Duration writesStallFor(SessionWorld &world, unsigned vm, Duration limit = std::chrono::seconds(15))
 {
     const Time start = world.now();
@@ -21,7 +21,7 @@
     return world.now() - start;
 }
 
-/** The steps of replacements, for messages of failed checks. */
+/** Logged steps of replacements, for failure messages. */
 std::string stepsOf(const SessionWorld &world)
 {
     std::string text;
@@ -35,9 +35,8 @@
 
 } // namespace
 
-// A clerk's write waits while the primary's process is gone, and is then done at its successor.
-// The leader sees connections refused, revokes the primary at all VMs, which confirm, and has the fullest replica promoted.
-// Nothing that was acknowledged before is acknowledged wrongly after.
+// The primary's process crashes. The leader sees its connections refused, revokes the primary at all VMs, which confirm, and has the most advanced replica
+// promoted. A write waits meanwhile and then runs at the new primary. No acknowledged write is lost.
 TEST(SessionPrimaryIsLost, writesGoOnAtAReplicaWithinASecondAndAHalf)
 {
     SessionWorld world;
@@ -54,26 +53,26 @@
     EXPECT_THAT(world.violations(), IsEmpty());
 }
 
-// One VM still reaches the old primary when all others, and the replicas, have lost it; it is cut off from the store and from the other VMs, too.
-// Its clerk must not be told that a write is done there once the others have a new primary: its authority runs out first.
-// The others wait for that time before they promote, since the VM cannot confirm.
+// All other VMs and the replicas lose the old primary, and one VM that still reaches it is cut off from the store and from the other VMs. That VM must not
+// acknowledge a write once the others have a new primary: its authority expires first. The others wait for that time before they promote a replica, since the
+// VM cannot confirm the revocation.
 TEST(SessionPrimaryIsLost, aVmThatIsCutOffWithTheOldPrimaryAcknowledgesNothingAfterItsReplacement)
 {
     SessionWorld world;
     world.run(startTime);
-    const unsigned lonely = 0;
-    const std::size_t client = world.open(lonely, "ledger");
+    const unsigned isolated = 0;
+    const std::size_t client = world.open(isolated, "ledger");
     ASSERT_EQ(world.ask(client, StatementKind::Write, "WRITE a 1").code_, ReplyCode::None);
-    if (world.leader() == lonely) {
-        world.killVm(lonely);
-        world.startVm(lonely);
+    if (world.leader() == isolated) {
+        world.killVm(isolated);
+        world.startVm(isolated);
         GTEST_SKIP() << "the leader must stand on the other side";
     }
     for (unsigned other = 1; other < 4; ++other) {
-        world.cutVms(lonely, other, true);
+        world.cutVms(isolated, other, true);
         world.cutVmFromMember(other, 0, true);
     }
-    world.cutVmFromStore(lonely, true);
+    world.cutVmFromStore(isolated, true);
     world.group().member(SessionWorld::memberId(1)).deaf_ = true;
     world.group().member(SessionWorld::memberId(2)).deaf_ = true;
     for (int round = 0; round < 200 && world.promotions() == 0; ++round) {
@@ -87,8 +86,8 @@
     EXPECT_LT(toMillis(writesStallFor(world, 1)), 1000);
 }
 
-// The primary's VM is to be replaced: it says that it leaves and still works. Clerks see a short wait and no error.
-// The leader revokes it, steps it down, waits until a replica has its last commit, and promotes that: no commit is rolled back.
+// The primary announces that it is leaving and still works. The leader revokes it, makes it step down, waits until a replica has its last commit, and promotes
+// that replica: no commit is rolled back, and clients see a short wait and no error.
 TEST(SessionPrimaryIsLost, aPrimaryThatLeavesIsReplacedWithoutLosingACommit)
 {
     SessionWorld world;
@@ -109,8 +108,8 @@
     EXPECT_THAT(world.violations(), IsEmpty());
 }
 
-// The store is away when the primary dies. Clerks wait until the store is back: a VM that the leader cannot hear could renew its authority there.
-// Nothing is promoted before, and writes go on soon after.
+// The primary is lost while the store is unavailable. Nothing is promoted until the store returns, because a VM that the leader cannot hear could renew its
+// authority there. Writes continue soon after.
 TEST(SessionPrimaryIsLost, whileTheStoreIsAwayNothingIsAcknowledgedTwiceOver)
 {
     SessionWorld world;
@@ -125,8 +124,9 @@
     EXPECT_THAT(world.violations(), IsEmpty());
 }
 
-// The leader is killed while the store is away, and some seconds later the primary dies. The claim has not been renewed since the leader last spoke of it,
-// so that the others need not wait for its whole time again once the store is back. The rest is the new leader listening, the dead VM's authority and the call.
+// The leader is killed while the store is unavailable, and the primary is lost some seconds later. The claim has not been renewed since the leader last
+// announced it, so once the store is back the other VMs need not wait for its full duration again. The remaining time is the new leader's initial delay, the
+// expiry of the dead VM's authority and the promotion call.
 TEST(SessionPrimaryIsLost, afterTheLeaderDiedWhileTheStoreWasAway)
 {
     SessionWorld world;
@@ -144,7 +144,7 @@
     EXPECT_THAT(world.violations(), IsEmpty());
 }
 
-// The leader is killed with the primary. Another VM takes the claim when it is provably over, and then replaces the primary.
+// The leader is killed together with the primary. Another VM takes over the claim once it has certainly ended, and then replaces the primary.
 TEST(SessionPrimaryIsLost, togetherWithTheLeader)
 {
     SessionWorld world;
--- a/test/error/SessionStoreIsAway.cpp
+++ b/test/error/SessionStoreIsAway.cpp
@@ -17,7 +17,8 @@
 
 } // namespace
 
-// The store answers nobody for six seconds. Callers notice nothing: the leader's claim outlasts the outage, and its heartbeats renew the VMs' authority.
+// The store is unavailable to all VMs for six seconds. Clients are not affected: the leader's claim outlasts the outage, and its heartbeats renew the VMs'
+// authority.
 TEST(SessionStoreIsAway, forSixSecondsNothingStops)
 {
     SessionWorld world;
@@ -34,8 +35,8 @@
     EXPECT_THAT(world.violations(), IsEmpty());
 }
 
-// The store drops its history: watches hear nothing, and stale answers stay as they were. An operator applies a change meanwhile.
-// It is in force on every VM within three seconds all the same: some VM reads the latest configuration every second or so, the others hear its number.
+// The store reports no changes to watches, and answers to repeated requests stay stale, while an operator changes the configuration. The change is active on
+// every VM within three seconds nevertheless: one VM reads the latest configuration about every second, and the others learn its version from heartbeats.
 TEST(SessionStoreIsAway, aChangeIsInForceInTimeWhileWatchesAreSilent)
 {
     SessionWorld world;
@@ -52,7 +53,7 @@
     }
 }
 
-// The store turns one VM away and serves the others. The change reaches that VM from the mirror of another, whose heartbeat names the newer number.
+// The store is unreachable for one VM only. A configuration change reaches that VM from the mirror of another, whose heartbeat states the newer version.
 TEST(SessionStoreIsAway, aVmThatIsTurnedAwayLearnsAChangeFromTheOthers)
 {
     SessionWorld world;
@@ -65,7 +66,7 @@
     EXPECT_TRUE(world.client(world.open(2, "history")).refused_);
 }
 
-// Every answer of the store to a write is lost, though the write is done. The leader finds its own claim standing there and goes on; nobody else leads.
+// Every answer of the store to a write is lost, although the write succeeds. The leader finds its own claim in the store and continues; no other VM leads.
 TEST(SessionStoreIsAway, lostAnswersToRenewalsCostNoLeadership)
 {
     SessionWorld world;
@@ -80,8 +81,8 @@
     EXPECT_THAT(world.violations(), IsEmpty());
 }
 
-// Another writer leaves an entry among the members that cannot be understood, and later a second one. Callers notice nothing.
-// The on-call engineer finds one line for each entry, however often the list is read, and another one when the same entry is damaged again.
+// Another writer adds an entry to the member directory that cannot be parsed, and later a second one. Clients are not affected. Each entry is logged once,
+// however often the directory is read, and again if the same entry is corrupted anew after a repair.
 TEST(SessionStoreIsAway, anEntryThatCannotBeUnderstoodIsNamedOnce)
 {
     SessionWorld world;
@@ -103,8 +104,9 @@
     EXPECT_THAT(world.violations(), IsEmpty());
 }
 
-// The store turns the leader away and serves the others, and then the primary's process dies. The leader cannot record a replacement; it resigns by heartbeat
-// as soon as it sees that others have answers, another VM claims the group and replaces the primary. Writes were once stalled until the claim ended, 8 s later.
+// The store is unreachable for the leader only, and then the primary crashes. The leader cannot record a replacement; it resigns by heartbeat as soon as it
+// learns that other VMs receive answers, and another VM claims the group and replaces the primary. Guards against writes that stall until the claim expires 8 s
+// later.
 TEST(SessionStoreIsAway, aLeaderThatIsTurnedAwayResignsAndThePrimaryIsReplaced)
 {
     SessionWorld world;
@@ -125,7 +127,7 @@
     EXPECT_THAT(world.violations(), IsEmpty());
 }
 
-// The store answers nobody. No leader resigns: nobody could claim a group, and without a leader authority ends everywhere.
+// The store is unavailable to all VMs. No leader resigns: no other VM could claim a group, and without a leader all authority would expire.
 TEST(SessionStoreIsAway, leadersGoOnWhileItAnswersNobody)
 {
     SessionWorld world;
--- a/test/error/SessionVmEnds.cpp
+++ b/test/error/SessionVmEnds.cpp
@@ -12,8 +12,8 @@
 
 } // namespace
 
-// The platform asks a VM to end. It says that it is not ready at once, answers what it is asked, closes sessions between requests, and ends in time.
-// A transaction that is open may end.
+// The platform asks a VM to shut down. The VM reports at once that it is not ready, still answers requests, closes sessions between requests, and exits in
+// time. An open transaction may complete.
 TEST(SessionVmEnds, gracefullyAndCutsNothing)
 {
     SessionWorld world;
@@ -34,7 +34,7 @@
     EXPECT_FALSE(world.runs(0));
 }
 
-// A leader that ends gracefully gives its claim back: another leads within a second, and writes do not stop.
+// A leader that shuts down gracefully releases its claim: another VM leads within a second, and writes do not stop.
 TEST(SessionVmEnds, aLeaderThatEndsIsFollowedAtOnce)
 {
     SessionWorld world;
@@ -51,7 +51,7 @@
     EXPECT_THAT(world.violations(), IsEmpty());
 }
 
-// All VMs lose power at once and start again with nothing. They find their configuration, members and claims in the store and serve within seconds.
+// All VMs lose power at once and start again without any state. They read configuration, members and claims from the store and serve within seconds.
 TEST(SessionVmEnds, allAtOnceAndServeAgain)
 {
     SessionWorld world;
--- a/test/error/SessionVmsAreMany.cpp
+++ b/test/error/SessionVmsAreMany.cpp
@@ -11,7 +11,7 @@
 
 constexpr Duration startTime = std::chrono::seconds(4);
 
-/** More VMs than a member takes connections. */
+/** A fleet of more VMs than a member accepts connections. */
 SessionWorldConfig manyVms()
 {
     SessionWorldConfig config;
@@ -20,7 +20,7 @@
     return config;
 }
 
-/** Connections of all VMs to the member, those for reports too. */
+/** Number of connections of all VMs to the member, including those for reports. */
 unsigned connectionsTo(SessionWorld &world, unsigned member)
 {
     unsigned count = 0;
@@ -34,7 +34,7 @@
     return count;
 }
 
-/** Calls to the store that wait for an answer, "watch" or "other". */
+/** Kinds of the pending store calls of a VM: "watch" or "other". */
 std::vector<std::string> storeCallsOf(SessionWorld &world, unsigned vm)
 {
     std::vector<std::string> kinds;
@@ -46,8 +46,8 @@
 
 } // namespace
 
-// Clients of 24 VMs write one after the other, while a member takes 20 connections. Each write is done: its VM opens a connection to the primary and closes it
-// soon after. A VM that kept its connection would leave none for the last ones, whose clients were refused.
+// Clients of 24 VMs write one after the other, while a member accepts 20 connections. Every write succeeds: its VM opens a connection to the primary and closes
+// it soon after. Guards against VMs that keep their connections and leave none for the last ones, whose clients would be refused.
 TEST(SessionVmsAreMany, everyVmWritesThoughThereAreFewerConnections)
 {
     SessionWorld world(manyVms());
@@ -64,8 +64,8 @@
     EXPECT_THAT(world.violations(), IsEmpty());
 }
 
-// All 24 VMs are idle. The members keep connections of some of them only, at most half of what they take, and the primary those of one leader's reports besides;
-// had each VM asked the primary by itself, it would have refused the last ones.
+// All 24 VMs are idle. The members keep connections of only some of them, at most half of what they accept, and the primary additionally those for the reports
+// to one leader. Guards against each VM polling the primary by itself, which would make it refuse the last ones.
 TEST(SessionVmsAreMany, idleVmsLeaveHalfOfTheConnectionsFree)
 {
     SessionWorld world(manyVms());
@@ -80,8 +80,8 @@
     }
 }
 
-// The primary's process is gone while 24 VMs serve writes. Most of them hear of it by the leader alone, which asks the primary for all.
-// Writes go on at a replica in about the time that few VMs need.
+// The primary crashes while 24 VMs serve writes. Most of them learn of it only from the leader, which polls the primary on behalf of all. Writes continue at a
+// replica in about the time that a small fleet needs.
 TEST(SessionVmsAreMany, thePrimaryIsReplacedAsQuicklyAsWithFew)
 {
     SessionWorld world(manyVms());
@@ -97,7 +97,7 @@
     EXPECT_THAT(world.violations(), IsEmpty());
 }
 
-// A new configuration is written. Only leaders watch the store; all other VMs have the new one in force within two seconds, by heartbeat.
+// A new configuration is written. Only leaders watch the store; on all other VMs it is active within two seconds, announced by heartbeat.
 TEST(SessionVmsAreMany, aConfigurationReachesThoseThatDoNotWatch)
 {
     SessionWorld world(manyVms());
@@ -114,9 +114,10 @@
     }
 }
 
-// A configuration of many routes takes 2.1 s over a VM's small, busy link, and watches hear nothing, so that VMs find it by checks. A check was given up after 2 s and began
-// anew: each VM filled its link with what it then threw away, and was served by the version before for as long as the link was busy. Of 56 checks of a burst 39 ended so, while the word
-// of the newer version, which had come by heartbeat, waited behind them. A check has the time that a read has.
+// A configuration of many routes takes 2.1 s over a VM's small, busy link, and watches report nothing, so that VMs find it by checks. Guards against a timeout
+// of 2 s for checks, after which they restarted: each VM filled its link with data that it discarded, and kept the previous version for as long as the link was
+// busy. In one burst 39 of 56 checks ended so, and heartbeats that announced the newer version were delayed behind them. A check is allowed as much time as a
+// read.
 TEST(SessionVmsAreMany, aConfigurationOverASmallLinkIsInForceInTime)
 {
     SessionWorld world(manyVms());
@@ -130,8 +131,8 @@
     }
 }
 
-// The primary's process is gone, and the platform does not answer calls for another, so that no primary is named for seconds. VMs that stay connected to the primary then have none to stay connected to; they once noted a member
-// without a name as such.
+// The primary crashes and the platform does not answer promotion calls, so that no primary is known for seconds. Guards against VMs that keep a persistent
+// connection to the primary recording a member with an empty id meanwhile.
 TEST(SessionVmsAreMany, noVmStaysWithAPrimaryThatIsNotNamed)
 {
     SessionWorld world(manyVms());
@@ -150,8 +151,8 @@
     EXPECT_TRUE(unnamed);
 }
 
-// The primary is full for a moment, and refuses a write of one VM's client. A primary that refuses runs and is reached. The VM once took it for unreachable, sent every statement for it back at once
-// as cut off, and so never found out that it took connections again.
+// The primary is briefly full and refuses a connection for a write. A primary that refuses is running and reachable. Guards against a VM that considers it
+// unreachable and refuses every statement for it as cut off, so that it never finds out that the primary accepts connections again.
 TEST(SessionVmsAreMany, aPrimaryThatWasFullIsUsedAgain)
 {
     SessionWorld world(manyVms());
@@ -165,8 +166,9 @@
     EXPECT_THAT(world.violations(), IsEmpty());
 }
 
-// One VM does not reach the primary for two seconds, and a write of its client is not answered. Once the way is free again the VM uses the primary, though nobody asks it to meanwhile: a VM that
-// believed the last failure until a statement showed otherwise, and sent every statement back for it, stayed cut off for the rest of its life.
+// One VM does not reach the primary for two seconds, and a client's write is not answered. Once the network recovers the VM must use the primary again, even
+// without any statement in the meantime. Guards against a VM that relies on the last failure until a statement succeeds, but refuses every statement because of
+// it, and so stays cut off forever.
 TEST(SessionVmsAreMany, aPrimaryThatWasSilentIsUsedAgain)
 {
     SessionWorld world(manyVms());
@@ -181,8 +183,8 @@
     EXPECT_THAT(world.violations(), IsEmpty());
 }
 
-// A read at a replica is not answered in time. Once the way is free again the replica serves: one that was passed over until it had answered, and was not asked because others answered, left its
-// load to them for good.
+// A read at a replica is not answered in time. Once the network recovers the replica must serve again. Guards against a replica that is skipped until it has
+// answered, but is never asked because others answer, so that its load stays on the others.
 TEST(SessionVmsAreMany, aReplicaThatWasSilentServesAgain)
 {
     SessionWorld world(manyVms());
@@ -201,7 +203,8 @@
     EXPECT_GT(world.lastRun(1), before);
 }
 
-// 60 VMs start at once, and each hears of all others. Guards against a line for each VM at each VM, 3,500 of them within a second, for which lines of statements were dropped.
+// 60 VMs start at once, and each hears all others. Guards against a log line for each VM at each VM: 3,500 lines within a second, for which lines on statements
+// were dropped.
 TEST(SessionVmsAreMany, aFleetThatStartsIsToldOfInAFewLines)
 {
     SessionWorldConfig config;
--- a/test/error/SessionVmsAreSplit.cpp
+++ b/test/error/SessionVmsAreSplit.cpp
@@ -10,10 +10,10 @@
 
 constexpr Duration startTime = std::chrono::seconds(3);
 constexpr unsigned vms = 7;
-/** VMs of several zones that lose the others, the store and the primary. */
+/** VMs of several zones that are cut off from the others, the store and the primary. */
 const std::set<unsigned> smaller{1, 3, 5};
 
-/** Parts the smaller half, with one replica, from the rest. */
+/** Separates the smaller part, with one replica, from the rest, or with \p cut false reconnects it. */
 void split(SessionWorld &world, bool cut)
 {
     constexpr unsigned replica = 2;
@@ -40,14 +40,14 @@
 
 } // namespace
 
-// The network splits: three VMs of seven, in several zones, lose the other four, the store and the primary. What needs the primary cannot be served there for
-// as long as the split lasts. Its clients are told so at once, and have time to ask a VM of the larger part, to which new clients are sent by then.
+// The network splits: three VMs of seven, in several zones, lose the other four, the store and the primary. They cannot run statements that need the primary
+// for as long as the split lasts. Their clients are told so at once, in time to ask a VM of the larger part, to which new clients are sent by then.
 TEST(SessionVmsAreSplit, theSmallerPartSendsItsClientsToTheLarger)
 {
     SessionWorld world(config());
     world.run(startTime);
     const std::size_t inside = world.open(1, "ledger");
-    const std::size_t resting = world.open(3, "dispatch");
+    const std::size_t idle = world.open(3, "dispatch");
     ASSERT_EQ(world.ask(inside, StatementKind::Write, "WRITE a 1").code_, ReplyCode::None);
     split(world, true);
     world.run(std::chrono::milliseconds(2500));
@@ -62,7 +62,7 @@
     const std::size_t outside = world.open(0, "ledger");
     EXPECT_EQ(world.ask(outside, StatementKind::Write, "WRITE a 3").code_, ReplyCode::None);
     world.run(std::chrono::seconds(3));
-    EXPECT_TRUE(world.client(resting).closed_);
+    EXPECT_TRUE(world.client(idle).closed_);
     EXPECT_EQ(world.promotions(), 0U);
     split(world, false);
     world.run(std::chrono::seconds(2));
@@ -75,8 +75,8 @@
     EXPECT_THAT(world.violations(), IsEmpty());
 }
 
-// Four VMs of seven lose power at once. The three that are left hear less than half of the VMs they knew, and still reach the store and the primary:
-// they stay ready and serve, though one of those that are gone was the leader.
+// Four VMs of seven, one of them the leader, lose power at once. The remaining three hear less than half of the VMs they knew, but still reach the store and
+// the primary: they stay ready and serve.
 TEST(SessionVmsAreSplit, thoseThatAreLeftOfManyServe)
 {
     SessionWorld world(config());
@@ -104,8 +104,8 @@
     EXPECT_THAT(world.violations(), IsEmpty());
 }
 
-// One VM loses its way to the primary, which all others reach; it hears the leader and keeps its authority. What it sent there is not answered, and nothing
-// that needs the primary can be served by it. A replacement would have come within 1.5 s; after that it sends its clients to the others, at once.
+// One VM can no longer reach the primary, which all others reach; it hears the leader and keeps its authority. What it has sent to the primary is not answered,
+// and it can serve nothing that needs the primary. As a replacement would have taken place within 1.5 s, it then refers its clients to the other VMs at once.
 TEST(SessionVmsAreSplit, aVmThatAloneLostThePrimarySendsItsClientsToTheOthers)
 {
     SessionWorld world(config());
@@ -132,8 +132,9 @@
     EXPECT_THAT(world.violations(), IsEmpty());
 }
 
-// Members hold the dead connections of VMs that lost power for some seconds, and refuse new ones as full. A VM that starts then hears nothing of the primary,
-// which others hear; but it reaches it, and has its turn soon. It stays ready, and its statements wait for a connection rather than being refused at once.
+// For some seconds members hold the dead connections of VMs that lost power, and refuse new ones because they are full. A VM that starts then receives no
+// answer from the primary, which others hear, but it reaches the primary and will soon get a connection. It stays ready, and its statements wait for a
+// connection rather than being refused at once.
 TEST(SessionVmsAreSplit, aPrimaryThatIsFullIsNotLost)
 {
     SessionWorld world(config());
--- a/test/error/SessionZoneIsCutOff.cpp
+++ b/test/error/SessionZoneIsCutOff.cpp
@@ -12,7 +12,7 @@
 constexpr unsigned zones = 3;
 constexpr unsigned vms = 2 * zones;
 
-/** Cuts zone \p zone, with its member, from the other zones and from the store. */
+/** Cuts off \p zone, with its member, from the other zones and from the store, or with \p cut false reconnects it. */
 void cutZone(SessionWorld &world, unsigned zone, bool cut)
 {
     for (unsigned inside = zone; inside < vms; inside += zones) {
@@ -29,15 +29,15 @@
 
 } // namespace
 
-// A zone is cut off with the primary in it; its clients still reach its VMs. These say within two seconds that they are not ready, so that clients are sent
-// to the zones that go on, where a replica is promoted. Sessions at rest are let go. When the cut heals the VMs are ready at once.
+// A zone that contains the primary is cut off, but its clients still reach its VMs. Within two seconds these VMs report that they are not ready, so that
+// clients are sent to the other zones, where a replica is promoted. Idle sessions are closed. When the network recovers the VMs are ready at once.
 TEST(SessionZoneIsCutOff, itsClientsAreSentToTheOthers)
 {
     SessionWorldConfig config;
     config.vms_ = vms;
     SessionWorld world(config);
     world.run(startTime);
-    const std::size_t resting = world.open(0, "dispatch");
+    const std::size_t idle = world.open(0, "dispatch");
     cutZone(world, 0, true);
     world.run(std::chrono::seconds(2));
     EXPECT_FALSE(world.ready(0));
@@ -46,7 +46,7 @@
         EXPECT_TRUE(world.ready(outside)) << outside;
     }
     world.run(std::chrono::seconds(3));
-    EXPECT_TRUE(world.client(resting).closed_);
+    EXPECT_TRUE(world.client(idle).closed_);
     EXPECT_EQ(world.promotions(), 1U);
     const std::size_t client = world.open(1, "ledger");
     EXPECT_EQ(world.ask(client, StatementKind::Write, "WRITE a 1").code_, ReplyCode::None);
@@ -56,9 +56,9 @@
     EXPECT_THAT(world.violations(), IsEmpty());
 }
 
-// A zone is cut off from the primary and from fresh replicas; clients inside go on asking. Once the VM knows of the cut it knows that nothing it can reach
-// may run a write, or a read as fresh as its route asks, so it says so at once, with the time after which other zones take over: a client that is held
-// until its timeout has no time left to ask there. Before the VM knows, the statement waits, and when the cut heals all is served.
+// A zone is cut off from the primary and from up-to-date replicas, and clients inside keep sending statements. Once a VM has detected this, nothing it reaches
+// may run a write, or a read as fresh as its route requires. It refuses such statements at once and states after what time other zones take over, since a
+// client that waits until its timeout has no time left to ask there. Until then statements wait, and when the network recovers all are served.
 TEST(SessionZoneIsCutOff, whatNobodyCanServeIsRefusedAtOnce)
 {
     SessionWorldConfig config;
@@ -89,7 +89,7 @@
     EXPECT_THAT(world.violations(), IsEmpty());
 }
 
-// One VM of several in its zone loses all else, such as by its own link. It alone says that it is not ready; nobody else does.
+// One VM of several in its zone loses all others, for example through a fault of its own link. It alone reports that it is not ready.
 TEST(SessionZoneIsCutOff, aSingleVmThatIsCutOffSpeaksForItselfOnly)
 {
     SessionWorldConfig config;
@@ -109,7 +109,7 @@
     }
 }
 
-// All VMs of the other zones are killed at once. Those that are left still reach the members, and all clients now depend on them: they stay ready.
+// All VMs of the other zones are killed at once. The remaining VMs still reach the members, and all clients depend on them: they stay ready.
 TEST(SessionZoneIsCutOff, vmsThatAreLeftAloneStayReady)
 {
     SessionWorldConfig config;
@@ -128,8 +128,8 @@
     EXPECT_FALSE(world.client(client).closed_);
 }
 
-// A VM of the zone starts while the zone is cut off. It has heard nobody; the store listed the others before it was lost, too. If this VM said that it is ready,
-// the platform would go on sending the zone's clients to it, where nothing can be served.
+// A VM starts while its zone is cut off. It has heard no other VM; the store listed the others before it became unreachable. If this VM reported ready, the
+// platform would keep sending the zone's clients to it, where nothing can be served.
 TEST(SessionZoneIsCutOff, aVmThatStartsDuringTheCutIsNotReadyEither)
 {
     SessionWorldConfig config;
@@ -147,11 +147,11 @@
     EXPECT_FALSE(world.ready(3));
 }
 
-// The zone of the group's leader is cut off; the primary is elsewhere and serves the other zones. The leader hears neither the primary nor any VM there: it must
-// not take the primary for lost, since it would go on replacing it when the cut heals, and writes of all zones would stop for some two seconds.
+// The zone of the group's leader is cut off; the primary is in another zone and serves. The leader hears neither the primary nor any VM there. It must not
+// consider the primary lost, since it would go on to replace it when the network recovers, and writes in all zones would stop for about two seconds.
 TEST(SessionZoneIsCutOff, itsLeaderDoesNotTakeThePrimaryForLost)
 {
-    unsigned played = 0;
+    unsigned seedsRun = 0;
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
         SessionWorldConfig config;
         config.vms_ = vms;
@@ -160,9 +160,9 @@
         world.run(startTime + std::chrono::milliseconds(seed * 13));
         const unsigned zone = world.leader().value_or(0) % zones;
         if (zone == 0) {
-            continue; // The primary's own zone.
+            continue; // The primary's zone.
         }
-        ++played;
+        ++seedsRun;
         cutZone(world, zone, true);
         world.run(std::chrono::seconds(6));
         EXPECT_THAT(world.logged(LogNumber::PrimaryRevoked), IsEmpty()) << "seed " << seed;
@@ -172,11 +172,12 @@
         EXPECT_EQ(world.ask(client, StatementKind::Write, "WRITE a 1", std::chrono::milliseconds(100)).code_, ReplyCode::None) << "seed " << seed;
         EXPECT_EQ(world.promotions(), 0U) << "seed " << seed;
     }
-    EXPECT_GT(played, 10U);
+    EXPECT_GT(seedsRun, 10U);
 }
 
-// The leader is cut off from the primary and from all other VMs, which reach it; packets are answered with resets, so that connections seem refused at once.
-// It must not take the primary for lost by heartbeats that came before the cut: the primary would stay revoked for as long as the cut lasts.
+// The leader is cut off from the primary and from all other VMs, which still reach the primary. Packets are answered with resets, so that connections seem
+// refused at once. The leader must not consider the primary lost because of heartbeats received before the cut: the primary would stay revoked until the cut
+// ends.
 TEST(SessionZoneIsCutOff, aLeaderWhoseConnectionsAreResetByTheCutRevokesNothing)
 {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
