--- a/test/error/BeginAnsweredAfterCallerLeft.cpp
+++ b/test/error/BeginAnsweredAfterCallerLeft.cpp
@@ -1,5 +1,5 @@
-// A caller opens a transaction and vanishes before Begin is answered. The answer arrives all the same, and the connection now stands inside a transaction
-// that belongs to nobody. The next caller must not get this connection: its statements would run inside the stranger's transaction.
+// A caller's Begin times out before it is answered. When the answer arrives, the connection has an open transaction without a caller. It must be closed: if it
+// were reused, the next caller's statements would run inside that transaction.
 #include "support/ScriptedProxy.h"
 
 #include <gtest/gtest.h>
--- a/test/error/CutOffOwnerDoesNotSpin.cpp
+++ b/test/error/CutOffOwnerDoesNotSpin.cpp
@@ -1,6 +1,6 @@
-// An availability zone is cut off from the other two for ten seconds; its owner suspects the primary and hears no second word.
-// Its wait for one has ended, but no majority answers, so no attempt can begin. A timer that is armed again for the end of that wait, now in
-// the past, fires at once and for ever: the process burns a core and answers nothing. World ends such a run with an exception.
+// An owner is cut off from the other two zones for ten seconds. It suspects the primary and receives no report from another owner. When its wait for a report
+// has ended, it still cannot start an attempt, as no majority answers. A timer armed for the end of that wait, now in the past, would fire immediately and
+// without end, and the process would use a whole core without answering anything. World ends such a run with an exception.
 #include "support/World.h"
 
 #include <gtest/gtest.h>
--- a/test/error/FormerPrimaryRejoins.cpp
+++ b/test/error/FormerPrimaryRejoins.cpp
@@ -1,5 +1,5 @@
-// A primary is cut off with writes that no replica has, and is replaced. When it comes back it still takes itself for the primary. Callers whose writes it
-// took were never told that they are done; the tail is cut before the member counts for anything, and every value that was acknowledged is there.
+// A primary is cut off with writes that no replica has, and is replaced. When it returns, it still considers itself primary. Those writes must not have been
+// acknowledged, its tail must be truncated before it counts towards a majority, and every acknowledged value must be present.
 #include "support/FailoverStory.h"
 
 #include <gmock/gmock.h>
@@ -12,7 +12,7 @@
 
 constexpr Duration second = std::chrono::seconds(1);
 
-/** A proxy in another zone than \p zone. */
+/** Returns a proxy in another zone than \p zone. */
 ProxyIndex outside(const FailoverStory &story, std::size_t zone)
 {
     return story.world_.zoneOfProxy(0) == zone ? 1 : 0;
@@ -33,13 +33,13 @@
     story.world_.ask(zone, request, [&](const std::optional<Answer> &answer) { tail = answer; });
     ASSERT_LT(story.timeToWrite(outside(story, zone), 5 * second), 2 * second);
     ASSERT_EQ(story.write(outside(story, zone), "append log b")->outcome_, Outcome::Done);
-    story.world_.run(second); // The caller at the cut-off proxy waits for as long as its request allows.
+    story.world_.run(second); // The caller at the isolated proxy waits until its request times out.
     ASSERT_TRUE(tail.has_value());
     EXPECT_NE(tail->outcome_, Outcome::Done);
     EXPECT_EQ(story.valuesOf("log")[former], "ax");
     story.isolate(zone, false);
     story.world_.run(3 * second);
-    // The caller was told "unknown", so a copy of its request that was under way may still run once, behind what was acknowledged, but not before it.
+    // The caller received Unknown, so a copy of its request in flight may still run once, after the acknowledged write but not before it.
     EXPECT_EQ(tail->outcome_, Outcome::Unknown);
     const std::vector<std::string> values = story.valuesOf("log");
     EXPECT_TRUE(values[former] == "ab" || values[former] == "abx") << values[former];
--- a/test/error/MessageArrivesTwice.cpp
+++ b/test/error/MessageArrivesTwice.cpp
@@ -1,5 +1,6 @@
-// A message between proxies arrives twice. A doubled Begin must not open a second transaction, whose connection nobody would ever end; a doubled step must not
-// run twice inside its transaction, where no idempotency key protects it. The owner drops the second copy without an answer: the first has one.
+// A message between proxies arrives twice. A second copy of a Begin must not open another transaction, whose connection nobody would release. A second copy of
+// a step must not run again inside its transaction, where no idempotency key protects it. The owner drops the second copy without an answer, as the first copy
+// is answered.
 #include "support/ScriptedProxy.h"
 
 #include "ForwardWindow.h"
@@ -44,8 +45,9 @@
     EXPECT_TRUE(proxy.takeStatements().empty());
 }
 
-// The queue is as long as the caller's time. The first copy of a write still fits and waits; for the second, which would wait behind the first, there is no time, and the
-// owner once refused it: the entry told its caller that the write had not run, and 25 ms later the first copy ran.
+// Guards against a false NotRun. The queue is about as long as the caller's timeout: the first copy of a write fits, but the second copy, queued behind the
+// first, would miss its deadline. If the owner refused the second copy, the entry would report that the write did not run, and 25 ms later the first copy would
+// run.
 TEST(MessageArrivesTwice, aWriteThatWaitsIsNotRefusedByItsCopy)
 {
     ScriptedProxy proxy;
@@ -68,21 +70,21 @@
             EXPECT_TRUE(refused.insert(answer->id_).second) << "answered twice";
         }
     }
-    EXPECT_FALSE(refused.empty()) << "the queue was to be too long";
+    EXPECT_FALSE(refused.empty()) << "the queue should be too long to accept all writes";
     for (const auto &[ticket, owned] : owner.requests_.byTicket_) {
-        EXPECT_FALSE(refused.contains(owned.origin_.id_)) << "told not run, and waits to run";
+        EXPECT_FALSE(refused.contains(owned.origin_.id_)) << "answered NotRun, but still queued to run";
     }
 }
 
 TEST(MessageArrivesTwice, isKnownHoweverTheIdsCome)
 {
     ForwardWindow window;
-    EXPECT_TRUE(noteArrival(window, RequestId(10)));
-    EXPECT_TRUE(noteArrival(window, RequestId(7))) << "overtaken";
-    EXPECT_FALSE(noteArrival(window, RequestId(7)));
-    EXPECT_TRUE(noteArrival(window, RequestId(10 + ForwardWindow::size)));
-    EXPECT_FALSE(noteArrival(window, RequestId(10))) << "too old to tell";
-    EXPECT_TRUE(noteArrival(window, RequestId(11)));
-    EXPECT_TRUE(noteArrival(window, RequestId(10 + 3 * ForwardWindow::size)));
-    EXPECT_TRUE(noteArrival(window, RequestId(9 + 3 * ForwardWindow::size)));
+    EXPECT_TRUE(recordArrival(window, RequestId(10)));
+    EXPECT_TRUE(recordArrival(window, RequestId(7))) << "overtaken by a later id";
+    EXPECT_FALSE(recordArrival(window, RequestId(7)));
+    EXPECT_TRUE(recordArrival(window, RequestId(10 + ForwardWindow::size)));
+    EXPECT_FALSE(recordArrival(window, RequestId(10))) << "too old to tell";
+    EXPECT_TRUE(recordArrival(window, RequestId(11)));
+    EXPECT_TRUE(recordArrival(window, RequestId(10 + 3 * ForwardWindow::size)));
+    EXPECT_TRUE(recordArrival(window, RequestId(9 + 3 * ForwardWindow::size)));
 }
--- a/test/error/OverdueAnswerCostsItsConnection.cpp
+++ b/test/error/OverdueAnswerCostsItsConnection.cpp
@@ -1,5 +1,5 @@
-// A write is sent and the member stays silent. The caller is told "unknown" in time, the connection is closed once the answer is overdue, and an answer that
-// comes afterwards changes nothing: a connection in doubt could hand its late answer to whoever used it next.
+// A member does not answer a write. The caller must receive Unknown in time, and the connection must be closed once the answer is overdue, as a late answer
+// could otherwise reach the next request on it. A late answer must have no effect.
 #include "support/ScriptedProxy.h"
 
 #include <gtest/gtest.h>
--- a/test/error/OwnerFallsSilentAfterWrite.cpp
+++ b/test/error/OwnerFallsSilentAfterWrite.cpp
@@ -1,6 +1,6 @@
-// A caller's write is forwarded to an owner that never answers: it may have run the write or not. The entry proxy sends the same write with the same key to
-// the next owner, where the group's unique key finds it if it ran, so that the caller gets one true answer and the write takes effect once. If all owners
-// stay silent, the caller is told "unknown", never "not run".
+// A write is forwarded to an owner that never answers, so it may or may not have run. The entry proxy sends the write with the same key to the next owner,
+// where the group's unique key finds it if it ran. The caller must receive one correct answer and the write must take effect once. If no owner answers, the
+// caller must receive Unknown, never NotRun.
 #include "support/ScriptedProxy.h"
 
 #include <gtest/gtest.h>
@@ -51,7 +51,7 @@
     proxy.pass(std::chrono::milliseconds(510));
     const PeerMessage second = proxy.takeForward();
     proxy.answerForward(first, notRun(ErrorKind::NoPrimary));
-    EXPECT_TRUE(proxy.answersTo(id).empty()) << "a refusal by one owner says nothing about the other";
+    EXPECT_TRUE(proxy.answersTo(id).empty()) << "a refusal by one owner does not tell whether the request ran at the other";
     proxy.answerForward(first, done("v1"));
     proxy.answerForward(second, done("v2"));
     ASSERT_EQ(proxy.answersTo(id).size(), 1U);
--- a/test/error/OwnerLostInTransaction.cpp
+++ b/test/error/OwnerLostInTransaction.cpp
@@ -1,6 +1,6 @@
-// A caller has a transaction open through an owner that is lost. Before the commit was sent, nothing of the transaction can ever take effect, and the caller is
-// told "not run". Once the commit was sent only its key can tell: the entry proxy asks another owner to cancel the key, and the answer is either the
-// recorded commit or a tombstone that a late commit would meet.
+// The owner of a caller's open transaction is lost. Before the commit is sent, the transaction can never take effect, and the caller receives NotRun. Once the
+// commit is sent, only its key can tell: the entry proxy asks another owner to cancel the key. The answer is either the recorded commit or a tombstone, which
+// stops a late commit.
 #include "support/ScriptedProxy.h"
 
 #include <gtest/gtest.h>
@@ -20,7 +20,7 @@
     return request;
 }
 
-/** Opens a transaction and returns the owner that has it. */
+/** Opens a transaction. Returns its id and the forwarded Begin, which names its owner. */
 std::pair<TransactionId, PeerMessage> begin(ScriptedProxy &proxy)
 {
     Request request = ScriptedProxy::read("");
--- a/test/error/OwnersDisagreeAboutThePrimary.cpp
+++ b/test/error/OwnersDisagreeAboutThePrimary.cpp
@@ -1,5 +1,5 @@
-// Owners see different parts of the group. One that has lost sight of the primary asks another before it acts, and leaves a primary that is seen elsewhere
-// alone: callers keep their primary. One that sees only a minority never fences, so that it cannot disturb the primary of the others when it comes back.
+// Owners reach different members of the group. An owner that cannot reach the primary must ask another owner before it acts, and must not replace a primary
+// that is reachable elsewhere. An owner that reaches only a minority must never fence, so that it does not disturb the others' primary when it reconnects.
 #include "support/FailoverStory.h"
 
 #include <gtest/gtest.h>
--- a/test/error/PrimariesLostWhilePlatformIsDown.cpp
+++ b/test/error/PrimariesLostWhilePlatformIsDown.cpp
@@ -1,5 +1,5 @@
-// The platform is down, and two primaries are lost one after the other. Callers' writes go on after about half a second each time: the owners were
-// granted terms in quiet times, so they need no call to the platform. When it answers again, its record catches up with the group.
+// Two primaries fail one after the other while the platform is down. Writes must continue after about half a second each time: the owners have been granted
+// terms in advance and need no call to the platform. Once the platform answers again, its record must catch up with the group.
 #include "support/FailoverStory.h"
 
 #include <gtest/gtest.h>
@@ -30,7 +30,7 @@
         EXPECT_LT(story.timeToWrite(0, 5 * second), 2 * second);
         EXPECT_EQ(story.promotions(), failover);
         story.world_.group(0).restart(lost, story.world_.now());
-        story.world_.run(2 * second); // It rejoins, so that the next loss leaves a majority.
+        story.world_.run(2 * second); // Lets the member rejoin, so that the next failure leaves a majority.
     }
     EXPECT_EQ(story.valuesOf("kept"), (std::vector<std::string>{"12", "12", "12"}));
     EXPECT_EQ(recordOf(story).term_, Term(1));
@@ -74,7 +74,7 @@
             }
             ASSERT_FALSE(owner->failover_.blocks_.empty());
             for (const TermBlock &block : owner->failover_.blocks_) {
-                EXPECT_TRUE(lastTerms.insert(block.last_).second) << "granted twice";
+                EXPECT_TRUE(lastTerms.insert(block.last_).second) << "a block of terms was granted twice";
             }
         }
     }
--- a/test/error/PrimaryAnswersBeforeMajority.cpp
+++ b/test/error/PrimaryAnswersBeforeMajority.cpp
@@ -1,5 +1,5 @@
-// A caller writes, and the primary answers at once. The caller is told "done" only after a replica, too, reports the entry: if the primary died in
-// between, its answer alone would have acknowledged a write that exists nowhere else. If no replica ever reports it, the caller is told "unknown".
+// The primary answers a write at once. The caller may receive Done only after a replica has reported the entry as well: if the primary failed before that, the
+// acknowledged write would be lost. If no replica reports it, the caller must receive Unknown.
 #include "support/ScriptedProxy.h"
 
 #include <gtest/gtest.h>
@@ -42,7 +42,7 @@
     const RequestId id = proxy.ask(ScriptedProxy::write(1, "put k v"));
     proxy.setPosition("a", 2);
     proxy.setPosition("b", 2);
-    // Another owner has fenced b for term 2: b may already have helped to choose a primary that lacks the entry.
+    // Another owner has fenced b at term 2, so b may already have helped to choose a primary that lacks the entry.
     proxy.reports_.at(MemberId("b")).fenced_ = Term(2);
     proxy.pass(std::chrono::milliseconds(110));
     proxy.answer(proxy.takeStatement(), UpstreamResult::Done, {Term(1), Position(2)});
--- a/test/error/PrimaryLeaves.cpp
+++ b/test/error/PrimaryLeaves.cpp
@@ -1,5 +1,5 @@
-// An operator marks the primary's upstream as leaving. Callers see a short stall: a replica that has the primary's whole log is promoted, every write that
-// was acknowledged is there, and writes go to the new primary within a second or two.
+// The configuration marks the primary's upstream as leaving. After a short stall, a replica with the primary's whole log must be promoted, every acknowledged
+// write must be present, and writes must continue at the new primary within a second or two.
 #include "support/FailoverStory.h"
 
 #include <gtest/gtest.h>
--- a/test/error/PrimaryOfALostTermAnswersLate.cpp
+++ b/test/error/PrimaryOfALostTermAnswersLate.cpp
@@ -1,6 +1,6 @@
-// A primary of term 2 opens its term at 2/7 and answers a read there, but no other member gets the entry; the primary of term 3 builds on 1/7.
-// The session then reads with the token 2/7. A member of term 3 never had that entry, though its term began above position 7:
-// taken for one that contains it, it would serve the read, and count as a holder, of something that the group has lost.
+// A primary of term 2 starts its term at 2/7 and answers a read there, but no other member receives the entry, and the primary of term 3 continues from 1/7. A
+// session then reads with the token 2/7. A member of term 3 never had that entry, although its term began above position 7. If it were taken to contain the
+// entry, it would serve the read, and count as a holder, of an entry that the group has lost.
 #include "GroupView.h"
 
 #include <gtest/gtest.h>
--- a/test/error/PromoterFailsBetweenSteps.cpp
+++ b/test/error/PromoterFailsBetweenSteps.cpp
@@ -1,5 +1,5 @@
-// The owner that replaces a lost primary fails between its steps. A dead one leaves a fenced majority without a primary: writes stall until the next owner
-// takes over at a term of its own. A paused one comes back when another owner has promoted, and its promotion must not count for anything.
+// The owner that replaces a failed primary fails between its steps. If it stops, it leaves a fenced majority without a primary, and the next owner must take
+// over in a term of its own. If it is paused, it resumes after another owner has promoted a member, and its own promotion must have no effect.
 #include "support/FailoverStory.h"
 
 #include <gtest/gtest.h>
@@ -11,23 +11,24 @@
 
 constexpr Duration second = std::chrono::seconds(1);
 
-/** Has \p strike happen at the first promotion that any proxy asks for; the call itself is lost when \p loseCall. */
-void onFirstPromotion(FailoverStory &story, bool loseCall, std::function<void(ProxyIndex)> strike)
+/** Injects \p fault at the first promotion that any proxy requests; with \p loseCall, the Promote call itself is lost. */
+void onFirstPromotion(FailoverStory &story, bool loseCall, std::function<void(ProxyIndex)> fault)
 {
-    story.world_.hooks_.afterEvent_ = [&story, loseCall, strike = std::move(strike), struck = false](ProxyIndex proxy, ProxyState &, Effects &effects) mutable {
-        const auto promotes = [](const Effect &effect) {
-            const auto *control = std::get_if<SendControl>(&effect);
-            return control != nullptr && std::holds_alternative<Promote>(control->call_.body_);
+    story.world_.hooks_.afterEvent_ =
+        [&story, loseCall, fault = std::move(fault), faultInjected = false](ProxyIndex proxy, ProxyState &, Effects &effects) mutable {
+            const auto promotes = [](const Effect &effect) {
+                const auto *control = std::get_if<SendControl>(&effect);
+                return control != nullptr && std::holds_alternative<Promote>(control->call_.body_);
+            };
+            if (faultInjected || std::ranges::none_of(effects, promotes)) {
+                return;
+            }
+            faultInjected = true;
+            if (loseCall) {
+                std::erase_if(effects, promotes);
+            }
+            story.world_.schedule(story.world_.now(), [proxy, fault] { fault(proxy); });
         };
-        if (struck || std::ranges::none_of(effects, promotes)) {
-            return;
-        }
-        struck = true;
-        if (loseCall) {
-            std::erase_if(effects, promotes);
-        }
-        story.world_.schedule(story.world_.now(), [proxy, strike] { strike(proxy); });
-    };
 }
 
 } // namespace
@@ -57,7 +58,7 @@
     const Term term = story.view(other).term_;
     story.world_.resumeProxy(first);
     story.world_.run(3 * second);
-    // It asks for no promotion at its old term, and what the others promoted stands.
+    // It requests no promotion in its old term, and the other owner's promotion stays in effect.
     EXPECT_EQ(story.view(first).term_, term);
     EXPECT_EQ(story.view(other).term_, term);
     EXPECT_EQ(story.promotions(), 1U);
--- a/test/error/RepeatIsRefused.cpp
+++ b/test/error/RepeatIsRefused.cpp
@@ -1,5 +1,6 @@
-// A caller was told "unknown", asks again by the same key at another proxy and says so. That proxy refuses the repeat, or finds no owner, while the first ask is
-// still under way somewhere and runs afterwards. "Not run" would be false: it is told only once the key is cancelled, and "unknown" otherwise.
+// A caller that received Unknown repeats its request with the same key at another proxy. This proxy refuses the repeat, or finds no owner, while the first
+// request is still in flight and may run later. NotRun would then be wrong: the caller may receive it only once the key is cancelled, and must receive Unknown
+// otherwise.
 #include "support/ScriptedProxy.h"
 
 #include <gtest/gtest.h>
--- a/test/error/ReplicaDiesDuringRead.cpp
+++ b/test/error/ReplicaDiesDuringRead.cpp
@@ -1,5 +1,5 @@
-// A dispatcher's read is under way at a replica that dies without a word. The owner asks after the member, and once it has missed two probes sends the read to
-// another one: the caller gets its answer after a few hundred milliseconds instead of waiting for a statement's timeout.
+// A replica fails without closing its connections while a read is in flight. Once it has missed two probes, the owner must send the read to another member, so
+// that the caller is answered after a few hundred milliseconds instead of after the statement timeout.
 #include "support/ScriptedProxy.h"
 
 #include <gtest/gtest.h>
--- a/test/error/TwoOwnersPromoteAtOnce.cpp
+++ b/test/error/TwoOwnersPromoteAtOnce.cpp
@@ -1,5 +1,5 @@
-// The owner that tries first is so slow that the second tries, too: both fence the group at terms of their own. Callers see one primary: the higher fence
-// wins, the other owner is refused and gives up, and no write that was acknowledged before is lost.
+// The first owner is so slow that the second one also starts a failover, and both fence the group at terms of their own. Callers must see one primary: the
+// higher fence wins, the other owner is refused and abandons its attempt, and no acknowledged write is lost.
 #include "support/FailoverStory.h"
 
 #include <gmock/gmock.h>
@@ -25,7 +25,7 @@
             if (owner == nullptr) {
                 return;
             }
-            // No owner waits for another, so that all those that suspect the primary act at once.
+            // Removes the delay by rank, so that all owners that suspect the primary act at once.
             state.owners_.at(World::groupId(0)).failover_.suspicion_.startAt_ = owner->failover_.suspicion_.since_;
             if (owner->failover_.attempt_) {
                 promoters.insert(proxy);
@@ -56,7 +56,7 @@
             }
             logged.push_back(log->number_);
             if (log->number_ == LogNumber::FailoverStarted && !raced) {
-                // Another owner's fence, at a higher term, reaches the members first and its promoter is never heard of again.
+                // A fence of another owner at a higher term reaches the members first, and that owner never promotes a member.
                 raced = true;
                 const Term higher(state.owners_.at(World::groupId(0)).failover_.attempt_->term_.value() + 1);
                 for (Standin::MemberIndex member = 0; member < 3; ++member) {
