--- a/src/Errors.h
+++ b/src/Errors.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines the typed failures that a caller, an operator or another part of figward can meet.
+ * Defines the outcomes and errors that figward reports to callers and operators and uses internally.
  */
 #pragma once
 
@@ -7,43 +7,43 @@
 
 namespace Figward {
 
-/** What became of a request. */
+/** Whether a request ran. */
 enum class Outcome {
-    Done, ///< Ran; for a write, a majority of the group holds it.
-    NotRun, ///< Proved not to have run, and it never will.
-    Unknown, ///< May or may not have run; the same idempotency key asks again safely.
+    Done, ///< Ran. A write is stored by a majority of the group.
+    NotRun, ///< Certainly did not run, and never will.
+    Unknown, ///< May or may not have run. A retry with the same idempotency key is safe.
 };
 
-/** Why a request did not simply succeed. */
+/** Reason why a request failed. */
 enum class ErrorKind {
     None,
-    BadRequest, ///< The request contradicts itself or the configuration; repeating it unchanged is useless.
+    BadRequest, ///< The request is inconsistent in itself or with the configuration; a retry of the same request fails, too.
     UnknownService,
     UnknownGroup,
     MissingKey, ///< A write without an idempotency key.
     BadToken, ///< The session token cannot be decoded.
     NotConfigured, ///< This proxy has no configuration yet.
-    Draining, ///< This proxy is shutting down; another takes the request.
-    NotOwner, ///< The proxy asked does not own connections to the group.
-    NoOwner, ///< No proxy that owns connections to the group can be reached.
-    NoPrimary, ///< The group has no primary at present; a failover may be running.
-    ReplicasBehind, ///< Too few replicas would hold the write before its deadline.
+    Draining, ///< This proxy is shutting down; the caller must use another one.
+    NotOwner, ///< The proxy that received the request does not own connections to the group.
+    NoOwner, ///< No proxy that owns connections to the group is reachable.
+    NoPrimary, ///< The group currently has no primary; a failover may be in progress.
+    ReplicasBehind, ///< Too few replicas would have received the write before its deadline.
     QueueFull,
-    Overloaded, ///< The deadline would pass while the request waits.
+    Overloaded, ///< The deadline would expire while the request is queued.
     DeadlineExceeded,
     RetryBudgetSpent,
     UpstreamFailed, ///< The connection or the upstream failed after the request was sent.
-    UpstreamRefused, ///< The upstream refused it before running it.
-    StatementRejected, ///< The database says that the statement itself is wrong.
+    UpstreamRefused, ///< The upstream refused the request before running it.
+    StatementRejected, ///< The database rejected the statement as invalid.
     KeyCancelled, ///< The idempotency key was cancelled earlier; the request did not run.
-    KeyTrimmed, ///< The idempotency key is older than what the group remembers.
+    KeyTrimmed, ///< The idempotency key is older than the oldest key that the group still stores.
     TransactionLost, ///< The transaction ended before its commit was sent.
     NoSuchTransaction,
 };
 
-/** Name of \p outcome as it stands in logs and reports, such as "not-run". */
+/** Name of \p outcome in logs and reports, such as "not-run". */
 std::string_view toString(Outcome outcome);
-/** Name of \p kind as it stands in logs and reports, such as "no-primary". */
+/** Name of \p kind in logs and reports, such as "no-primary". */
 std::string_view toString(ErrorKind kind);
 
 } // namespace Figward
--- a/src/HeartbeatSocket.cpp
+++ b/src/HeartbeatSocket.cpp
@@ -20,7 +20,7 @@
 {
     const std::optional<SocketAddress> parsed = parseSocketAddress(address);
     if (!parsed) {
-        return absl::InvalidArgumentError(absl::StrCat("no IP address and port: ", address));
+        return absl::InvalidArgumentError(absl::StrCat("not an IP address and port: ", address));
     }
     const boost::asio::ip::udp::endpoint endpoint(parsed->ip_, parsed->port_);
     boost::system::error_code error;
@@ -60,11 +60,11 @@
         return;
     }
     boost::system::error_code error;
-    // A datagram that cannot be sent now is as good as lost on the way: another follows in a moment.
+    // An error is ignored, like the loss of the datagram on the network: the next one is sent shortly.
     socket_.send_to(boost::asio::buffer(datagram), boost::asio::ip::udp::endpoint(parsed->ip_, parsed->port_), 0, error);
 }
 
-void HeartbeatSocket::take(std::string_view datagram)
+void HeartbeatSocket::handleDatagram(std::string_view datagram)
 {
     const Overloaded handle{
         [&](VmHeartbeat &heartbeat) { events_.post(SessionEvent(HeartbeatReceived{std::move(heartbeat)})); },
@@ -83,9 +83,9 @@
             return;
         }
         if (!error) {
-            take(std::string_view(buffer_.data(), size));
+            handleDatagram(std::string_view(buffer_.data(), size));
         }
-        receive(); // An error here is the echo of a datagram that another VM refused.
+        receive(); // An error is ignored: it reports (by ICMP) that another VM refused an earlier datagram.
     });
 }
 
--- a/src/HeartbeatSocket.h
+++ b/src/HeartbeatSocket.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines the socket over which VMs send each other heartbeats: datagrams, so that no connection can go silent between two VMs.
+ * Defines the UDP socket for heartbeats between VMs. Datagrams are used because there is no connection state that could be lost between two VMs unnoticed.
  */
 #pragma once
 
@@ -11,24 +11,24 @@
 
 namespace Figward {
 
-/** Sends and receives on the context's thread. */
+/** Sends and receives datagrams on the context's thread. */
 class HeartbeatSocket
 {
 public:
     HeartbeatSocket(boost::asio::io_context &context, EventSink &events);
-    /** Binds to \p address, "IP:port". Unavailable if that is taken. */
+    /** Binds to \p address, given as "IP:port". Returns Unavailable if the address is in use. */
     absl::Status open(const std::string &address);
-    /** Send a datagram; whether it arrives is not known. */
+    /** Sends a datagram; delivery is not guaranteed. */
     void send(const SendHeartbeat &effect);
     void send(const SendAdmissionRequest &effect);
     void send(const SendAdmissionGrant &effect);
 
 private:
     void sendTo(const std::string &address, const std::string &datagram);
-    void take(std::string_view datagram);
+    void handleDatagram(std::string_view datagram);
     void receive();
 
-    /** Largest datagram that is taken; one of a few hundred groups. */
+    /** Maximum size of a received datagram, in bytes; enough for a heartbeat with a few hundred groups. */
     static constexpr std::size_t datagramLimit = 65536;
 
     EventSink &events_;
--- a/src/HttpClient.cpp
+++ b/src/HttpClient.cpp
@@ -12,10 +12,10 @@
 
 namespace {
 
-/** Largest body that is taken: an object of the platform is a megabyte at most, a list of them about that. */
+/** Maximum size of a response body. An object of the platform has at most a megabyte, and a list of objects about as much. */
 constexpr std::uint64_t bodyLimit = std::uint64_t{8} << 20U;
-/** Idle connections that are kept to one address. */
-constexpr std::size_t keptConnections = 3;
+/** Maximum number of idle connections kept open for reuse. */
+constexpr std::size_t maxIdleConnections = 3;
 
 } // namespace
 
@@ -23,13 +23,16 @@
 {
     std::string address_;
     std::vector<std::shared_ptr<Connection>> idle_;
-    bool ended_ = false;
+    bool clientDestroyed_ = false;
 
-    /** A call begun then had no answer in time: connections that have answered nothing since may be silent for the same reason, and would let one call after the other hang. */
-    void closeSilentSince(std::chrono::steady_clock::time_point begun);
+    /**
+     * Closes the idle connections without a response since \p callStart, the start of a call that timed out. They may be unresponsive for the same reason, and
+     * one call after the other would then time out on them.
+     */
+    void closeIfNoResponseSince(std::chrono::steady_clock::time_point callStart);
 };
 
-/** One connection, and at most one call on it. */
+/** One connection, with at most one call in flight. */
 class HttpClient::Connection : public std::enable_shared_from_this<Connection>
 {
 public:
@@ -39,10 +42,10 @@
     {
     }
 
-    void run(HttpRequest request, OnResponse onResponse, OnBegan onBegan)
+    void run(HttpRequest request, OnResponse onResponse, OnHeader onHeader)
     {
         onResponse_ = std::move(onResponse);
-        onBegan_ = std::move(onBegan);
+        onHeader_ = std::move(onHeader);
         message_ = {};
         message_.version(11);
         message_.method_string(request.method_);
@@ -56,7 +59,7 @@
         }
         message_.body() = std::move(request.body_);
         message_.prepare_payload();
-        begun_ = std::chrono::steady_clock::now();
+        callStart_ = std::chrono::steady_clock::now();
         stream_.expires_after(std::chrono::duration_cast<std::chrono::milliseconds>(request.timeout_));
         if (connected_) {
             write();
@@ -80,7 +83,7 @@
                                       return;
                                   }
                                   self->connected_ = true;
-                                  boost::system::error_code ignored; // Slower at worst.
+                                  boost::system::error_code ignored; // Without this option calls are only slower.
                                   self->stream_.socket().set_option(boost::asio::ip::tcp::no_delay(true), ignored);
                                   self->write();
                               });
@@ -106,8 +109,8 @@
                 self->fail(error);
                 return;
             }
-            if (const OnBegan onBegan = std::exchange(self->onBegan_, nullptr); onBegan && !self->shared_->ended_) {
-                onBegan();
+            if (const OnHeader onHeader = std::exchange(self->onHeader_, nullptr); onHeader && !self->shared_->clientDestroyed_) {
+                onHeader();
             }
             self->readBody();
         });
@@ -128,7 +131,7 @@
     void fail(const boost::system::error_code &error)
     {
         if (error == boost::beast::error::timeout) {
-            shared_->closeSilentSince(begun_);
+            shared_->closeIfNoResponseSince(callStart_);
         }
         finish({}, false);
     }
@@ -136,14 +139,14 @@
     void finish(HttpResponse response, bool reusable)
     {
         stream_.expires_never();
-        answered_ = std::chrono::steady_clock::now();
-        if (reusable && shared_->idle_.size() < keptConnections && !shared_->ended_) {
+        lastCallEnd_ = std::chrono::steady_clock::now();
+        if (reusable && shared_->idle_.size() < maxIdleConnections && !shared_->clientDestroyed_) {
             shared_->idle_.push_back(shared_from_this());
         } else {
             stream_.close();
         }
         const OnResponse onResponse = std::exchange(onResponse_, nullptr);
-        if (!shared_->ended_) {
+        if (!shared_->clientDestroyed_) {
             onResponse(std::move(response));
         }
     }
@@ -154,17 +157,17 @@
     http::request<http::string_body> message_;
     std::unique_ptr<http::response_parser<http::string_body>> parser_;
     OnResponse onResponse_;
-    OnBegan onBegan_;
-    std::chrono::steady_clock::time_point begun_; ///< Of the present call.
-    std::chrono::steady_clock::time_point answered_; ///< When the last call ended.
+    OnHeader onHeader_;
+    std::chrono::steady_clock::time_point callStart_; ///< Start of the current call.
+    std::chrono::steady_clock::time_point lastCallEnd_; ///< When the last call ended.
     bool connected_ = false;
 
     friend struct Shared;
 };
 
-void HttpClient::Shared::closeSilentSince(std::chrono::steady_clock::time_point begun)
+void HttpClient::Shared::closeIfNoResponseSince(std::chrono::steady_clock::time_point callStart)
 {
-    std::erase_if(idle_, [&](const std::shared_ptr<Connection> &connection) { return connection->answered_ < begun; });
+    std::erase_if(idle_, [&](const std::shared_ptr<Connection> &connection) { return connection->lastCallEnd_ < callStart; });
 }
 
 HttpClient::HttpClient(boost::asio::io_context &context, std::string address)
@@ -176,11 +179,11 @@
 
 HttpClient::~HttpClient()
 {
-    shared_->ended_ = true;
+    shared_->clientDestroyed_ = true;
     shared_->idle_.clear();
 }
 
-void HttpClient::call(HttpRequest request, OnResponse onResponse, OnBegan onBegan)
+void HttpClient::call(HttpRequest request, OnResponse onResponse, OnHeader onHeader)
 {
     std::shared_ptr<Connection> connection;
     if (request.newConnection_ || shared_->idle_.empty()) {
@@ -189,7 +192,7 @@
         connection = std::move(shared_->idle_.back());
         shared_->idle_.pop_back();
     }
-    connection->run(std::move(request), std::move(onResponse), std::move(onBegan));
+    connection->run(std::move(request), std::move(onResponse), std::move(onHeader));
 }
 
 } // namespace Figward
--- a/src/HttpClient.h
+++ b/src/HttpClient.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines an HTTP/1.1 client for calls to one address: connections are kept for reuse, and one that gave no answer is never used again.
+ * Defines an HTTP/1.1 client for calls to one address. Idle connections are reused; a connection on which a call failed is closed.
  */
 #pragma once
 
@@ -13,38 +13,38 @@
 
 namespace Figward {
 
-/** One request. */
+/** An HTTP request to send. */
 struct HttpRequest
 {
     std::string method_ = "GET";
     std::string target_; ///< Path and query.
     std::map<std::string, std::string> headers_;
-    std::string body_; ///< JSON, if not empty.
+    std::string body_; ///< JSON, or empty.
     std::chrono::microseconds timeout_{};
-    bool newConnection_ = false; ///< Does not reuse a kept one.
+    bool newConnection_ = false; ///< Opens a new connection instead of reusing an idle one.
 };
 
-/** One answer. */
+/** The response to an HttpRequest. */
 struct HttpResponse
 {
-    unsigned status_ = 0; ///< Zero: there was no answer, or no whole one.
+    unsigned status_ = 0; ///< Zero if there was no complete response.
     std::string body_;
 };
 
-/** Calls one address. Functions and callbacks run on the context's thread. */
+/** HTTP client for one address. Functions and callbacks run on the context's thread. */
 class HttpClient
 {
 public:
     using OnResponse = std::function<void(HttpResponse response)>;
-    using OnBegan = std::function<void()>;
+    using OnHeader = std::function<void()>;
 
     /** \p address is "IP:port". */
     HttpClient(boost::asio::io_context &context, std::string address);
     ~HttpClient();
     HttpClient(const HttpClient &) = delete;
     HttpClient &operator=(const HttpClient &) = delete;
-    /** Calls \p onResponse once, at the latest when the time-out has passed, and before it \p onBegan, if given, when the head of an answer has come. */
-    void call(HttpRequest request, OnResponse onResponse, OnBegan onBegan = nullptr);
+    /** Sends \p request. Calls \p onHeader, if given, when the header of the response has been received, and \p onResponse once, no later than the timeout. */
+    void call(HttpRequest request, OnResponse onResponse, OnHeader onHeader = nullptr);
 
 private:
     class Connection;
--- a/src/HttpListener.cpp
+++ b/src/HttpListener.cpp
@@ -12,12 +12,12 @@
 
 namespace {
 
-/** A connection that asks nothing for this long is closed. */
+/** A connection is closed if it sends no request for this long, or if a response cannot be written within this time. */
 constexpr std::chrono::seconds idleLimit(30);
 
 } // namespace
 
-/** One client; asks one thing after the other. */
+/** The connection of one client, which handles one request at a time. */
 class HttpListener::Connection : public std::enable_shared_from_this<Connection>
 {
 public:
@@ -33,29 +33,29 @@
         stream_.expires_after(idleLimit);
         http::async_read(stream_, buffer_, request_, [self = shared_from_this()](const boost::system::error_code &error, std::size_t /*size*/) {
             if (!error) {
-                self->answer();
+                self->handleRequest();
             }
         });
     }
 
 private:
-    void answer()
+    void handleRequest()
     {
         stream_.expires_never();
-        const HttpCall call{std::string(request_.method_string()), std::string(request_.target()), request_.body()};
-        (*handler_)(call, [self = shared_from_this()](const HttpAnswer &answer) { self->write(answer); });
+        const HttpServerRequest request{std::string(request_.method_string()), std::string(request_.target()), request_.body()};
+        (*handler_)(request, [self = shared_from_this()](const HttpServerResponse &response) { self->write(response); });
     }
 
-    void write(const HttpAnswer &answer)
+    void write(const HttpServerResponse &response)
     {
         response_ = {};
         response_.version(request_.version());
-        response_.result(answer.status_);
+        response_.result(response.status_);
         response_.keep_alive(request_.keep_alive());
-        if (!answer.body_.empty()) {
+        if (!response.body_.empty()) {
             response_.set(http::field::content_type, "application/json");
         }
-        response_.body() = answer.body_;
+        response_.body() = response.body_;
         response_.prepare_payload();
         stream_.expires_after(idleLimit);
         http::async_write(stream_, response_, [self = shared_from_this()](const boost::system::error_code &error, std::size_t /*size*/) {
@@ -80,7 +80,7 @@
 
 HttpListener::~HttpListener()
 {
-    *handler_ = [](const HttpCall & /*call*/, const Respond &respond) { respond(HttpAnswer{503, {}}); };
+    *handler_ = [](const HttpServerRequest & /*request*/, const Respond &respond) { respond(HttpServerResponse{503, {}}); };
 }
 
 absl::Status HttpListener::open(const std::string &address)
@@ -115,7 +115,7 @@
 {
     const std::optional<SocketAddress> parsed = parseSocketAddress(address);
     if (!parsed) {
-        return absl::InvalidArgumentError(absl::StrCat("no IP address and port: ", address));
+        return absl::InvalidArgumentError(absl::StrCat("not an IP address and port: ", address));
     }
     const boost::asio::ip::tcp::endpoint endpoint(parsed->ip_, parsed->port_);
     boost::system::error_code error;
--- a/src/HttpListener.h
+++ b/src/HttpListener.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines a small HTTP/1.1 server for short answers, such as whether this VM is ready.
+ * Defines a small HTTP/1.1 server for short responses, such as whether this VM is ready.
  */
 #pragma once
 
@@ -12,36 +12,36 @@
 
 namespace Figward {
 
-/** What is answered. */
-struct HttpAnswer
+/** A response to send. */
+struct HttpServerResponse
 {
     unsigned status_ = 404;
     std::string body_; ///< JSON, or empty.
 };
 
-/** What is asked. */
-struct HttpCall
+/** A received request. */
+struct HttpServerRequest
 {
     std::string method_;
     std::string target_;
     std::string body_;
 };
 
-/** Answers requests on the context's thread. */
+/** HTTP server that handles requests on the context's thread. */
 class HttpListener
 {
 public:
-    using Respond = std::function<void(HttpAnswer answer)>;
-    /** Calls \p respond once, at once or later, on the context's thread. */
-    using Handler = std::function<void(const HttpCall &call, Respond respond)>;
+    using Respond = std::function<void(HttpServerResponse response)>;
+    /** Handles a request. It must call \p respond exactly once, on the context's thread, before it returns or later. */
+    using Handler = std::function<void(const HttpServerRequest &request, Respond respond)>;
 
     HttpListener(boost::asio::io_context &context, Handler handler);
     ~HttpListener();
     HttpListener(const HttpListener &) = delete;
     HttpListener &operator=(const HttpListener &) = delete;
-    /** Listens at "IP:port". Unavailable if that is taken. */
+    /** Listens on \p address, given as "IP:port". Returns Unavailable if the address is in use. */
     absl::Status open(const std::string &address);
-    /** Where it listens, with the port that was taken. */
+    /** The local address as "IP:port", with the actual port if open() was called with port 0. */
     [[nodiscard]] std::string address() const;
 
 private:
@@ -52,7 +52,7 @@
     std::shared_ptr<Handler> handler_;
 };
 
-/** Opens \p acceptor at "IP:port". */
+/** Opens \p acceptor on \p address, given as "IP:port". */
 absl::Status listenAt(boost::asio::ip::tcp::acceptor &acceptor, const std::string &address);
 
 } // namespace Figward
--- a/src/Ids.h
+++ b/src/Ids.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines strong types for the identifiers that travel through figward, so that a term cannot be passed where a position is meant.
+ * Defines strong types for figward's identifiers, so that a term cannot be passed where a position is expected.
  */
 #pragma once
 
@@ -10,7 +10,7 @@
 
 namespace Figward {
 
-/** A value of type \p Rep that only compares with values of the same \p Tag. */
+/** A value of type \p Rep that can be compared only with values of the same \p Tag. */
 template<typename Tag, typename Rep>
 class StrongValue
 {
@@ -38,11 +38,11 @@
     Rep value_{};
 };
 
-/** One incarnation of a proxy process on a VM. A restarted VM has a new one; zero means "not known yet". */
+/** One incarnation of a proxy process on a VM. A restarted process has a new one; zero means that it is not known yet. */
 using VmId = StrongValue<struct VmIdTag, std::uint64_t>;
 /** Name of an availability zone. */
 using ZoneId = StrongValue<struct ZoneIdTag, std::string>;
-/** Name of a service of the configuration. */
+/** Name of a service in the configuration. */
 using ServiceId = StrongValue<struct ServiceIdTag, std::string>;
 /** Name of a database group, unique in the whole configuration. */
 using GroupId = StrongValue<struct GroupIdTag, std::string>;
@@ -50,11 +50,11 @@
 using MemberId = StrongValue<struct MemberIdTag, std::string>;
 /** Name of a class of work, such as "dispatch". */
 using ClassId = StrongValue<struct ClassIdTag, std::string>;
-/** An organisation whose applications use the databases. */
+/** Name of an organisation whose applications use the databases. */
 using OrganisationId = StrongValue<struct OrganisationIdTag, std::string>;
-/** A caller's request at its entry proxy; unique there for the life of the process. */
+/** A caller's request at its entry proxy; unique during the lifetime of that process. */
 using RequestId = StrongValue<struct RequestIdTag, std::uint64_t>;
-/** A transaction at its entry proxy; zero means "none". */
+/** A transaction at its entry proxy; zero means no transaction. */
 using TransactionId = StrongValue<struct TransactionIdTag, std::uint64_t>;
 /** A connection from this process to one member; never reused. */
 using ConnectionId = StrongValue<struct ConnectionIdTag, std::uint64_t>;
@@ -64,20 +64,20 @@
 using ControlId = StrongValue<struct ControlIdTag, std::uint64_t>;
 /** A call to the platform's object API. */
 using CallId = StrongValue<struct CallIdTag, std::uint64_t>;
-/** Random id that marks one attempt at a conditional update, so that its author can recognise it after a lost answer. */
+/** Random id of one attempt at a conditional update. If the answer is lost, the proxy recognises its own update by this id. */
 using AttemptId = StrongValue<struct AttemptIdTag, std::uint64_t>;
-/** Version that the platform gives an object; grows with each update. Zero means "does not exist". */
+/** Version that the platform assigns to an object; increases with each update. Zero means that the object does not exist. */
 using ObjectVersion = StrongValue<struct ObjectVersionTag, std::uint64_t>;
-/** Version of an accepted configuration; grows by one with each apply. Zero means "none yet". */
+/** Version of an accepted configuration; increases by one each time a configuration is applied. Zero means that there is none yet. */
 using ConfigVersion = StrongValue<struct ConfigVersionTag, std::uint64_t>;
-/** Term of a group's primary; grows with each promotion. */
+/** Term of a group's primary; increases with each promotion. */
 using Term = StrongValue<struct TermTag, std::uint64_t>;
 /** Position in a group's log; the first entry is 1. */
 using Position = StrongValue<struct PositionTag, std::uint64_t>;
-/** Number of a request within its session; grows by one with each new request. */
+/** Number of a request within its session; increases by one with each new request. */
 using Sequence = StrongValue<struct SequenceTag, std::uint64_t>;
 
-/** A caller's session. Its start lets a group forget old sessions as a whole without forgetting that they existed. */
+/** A caller's session. By the start time in the id, a group still recognises a session as expired after it has deleted its records. */
 struct SessionId
 {
     std::uint64_t startedSeconds_ = 0; ///< Seconds since the Unix epoch, by the caller's clock.
@@ -91,7 +91,7 @@
     }
 };
 
-/** Idempotency key of a request that may not run twice; stored by the group in the same transaction as the write. */
+/** Idempotency key of a request that must not run twice. The group stores it in the same transaction as the write. */
 struct IdempotencyKey
 {
     SessionId session_;
@@ -105,7 +105,7 @@
     }
 };
 
-/** A point in a group's log. Compares by term first: the order in which a new primary is chosen. */
+/** A point in a group's log. Points are ordered by term first, which is the order used to choose a new primary. */
 struct LogPoint
 {
     Term term_;
@@ -113,9 +113,9 @@
     auto operator<=>(const LogPoint &) const = default;
 };
 
-/** Text of a session id for logs, as "seconds-nonce". */
+/** Formats a session id for logs, as "seconds-nonce". */
 std::string toString(const SessionId &session);
-/** Text of a log point for logs, as "term/position". */
+/** Formats a log point for logs, as "term/position". */
 std::string toString(const LogPoint &point);
 
 } // namespace Figward
--- a/src/KeyDigest.h
+++ b/src/KeyDigest.h
@@ -1,7 +1,8 @@
 /** \file
- * Defines the digest that stands for a client's key everywhere but on the client's own connection.
+ * Defines the digest that represents a client's key everywhere except on the client's own connection.
  *
- * The key itself is a secret: it is turned into its digest where it is read, so that no log line, metric, error text, member or other VM can show it.
+ * The key itself is a secret. It is hashed as soon as it is read, so that it cannot appear in a log line, a metric or an error message, nor reach a member or
+ * another VM.
  */
 #pragma once
 
@@ -20,7 +21,7 @@
     std::array<std::uint8_t, 32> bytes_{};
     auto operator<=>(const KeyDigest &) const = default;
 
-    /** For absl's hash tables. */
+    /** Makes the digest usable as a key of absl's hash tables. */
     template<typename Hash>
     friend Hash AbslHashValue(Hash hash, const KeyDigest &digest)
     {
@@ -28,11 +29,11 @@
     }
 };
 
-/** The digest of \p key. */
+/** Computes the digest of \p key. */
 KeyDigest digestOf(std::string_view key);
-/** 64 hexadecimal digits. */
+/** Formats \p digest as 64 hexadecimal digits. */
 std::string toHex(const KeyDigest &digest);
-/** Reads what toHex() writes; nothing if \p text is anything else. */
+/** Parses the output of toHex(). Returns nothing if \p text is malformed. */
 std::optional<KeyDigest> parseKeyDigest(std::string_view text);
 
 } // namespace Figward
--- a/src/LineConnection.cpp
+++ b/src/LineConnection.cpp
@@ -9,12 +9,12 @@
 namespace {
 
 constexpr std::size_t readSize = 4096;
-/** Sent data that is not acknowledged for this long ends the connection: packets to a VM that is gone would be repeated for minutes. */
+/** The connection is closed if sent data stays unacknowledged for this long. By default, the kernel would retransmit to a lost VM for minutes. */
 constexpr int unacknowledgedLimitMillis = 4000;
-/** An idle connection is probed after this long, so that the end of a VM without a word is noticed. */
+/** Interval of TCP keep-alive probes on an idle connection, which detect a VM that stopped without closing the connection. */
 constexpr int keepAliveSeconds = 10;
-/** The other side has this long to read what was sent last and to close; a live one needs a round trip. */
-constexpr std::chrono::milliseconds lingerTime(1000);
+/** Time for the other side to read the last data sent and to close the connection; a responsive peer needs one round trip. */
+constexpr std::chrono::milliseconds lingerTimeout(1000);
 
 } // namespace
 
@@ -28,7 +28,7 @@
 {
     onLine_ = std::move(onLine);
     onEnd_ = std::move(onEnd);
-    prepareSocket();
+    setSocketOptions();
     read();
 }
 
@@ -41,18 +41,18 @@
             return;
         }
         if (error) {
-            self->end(LineEnd::Unreachable);
+            self->end(LineConnectionEnd::Unreachable);
             return;
         }
-        self->prepareSocket();
+        self->setSocketOptions();
         self->send(greeting);
         self->read();
     });
 }
 
-void LineConnection::prepareSocket()
+void LineConnection::setSocketOptions()
 {
-    boost::system::error_code ignored; // Without these options the connection works, and only notices silence later.
+    boost::system::error_code ignored; // Without these options the connection still works but detects an unresponsive peer later.
     socket_.set_option(boost::asio::ip::tcp::no_delay(true), ignored);
     socket_.set_option(boost::asio::socket_base::keep_alive(true), ignored);
     const int handle = socket_.native_handle();
@@ -79,10 +79,10 @@
 void LineConnection::close()
 {
     closed_ = true;
-    boost::system::error_code ignored; // Nothing is left to lose.
+    boost::system::error_code ignored; // The socket is closed even if this reports an error.
     socket_.close(ignored);
     lingerTimer_.cancel();
-    // Deferred: a callback that closes the connection is still running.
+    // Deferred because one of these callbacks may be running and have called close().
     boost::asio::post(socket_.get_executor(), [self = shared_from_this()] {
         self->onLine_ = nullptr;
         self->onEnd_ = nullptr;
@@ -100,21 +100,21 @@
                                     return;
                                 }
                                 if (error) {
-                                    self->end(LineEnd::Closed);
+                                    self->end(LineConnectionEnd::Closed);
                                 } else if (self->closing_) {
                                     self->discard();
                                 } else {
-                                    self->takeLines();
+                                    self->processLines();
                                 }
                             });
 }
 
-void LineConnection::takeLines()
+void LineConnection::processLines()
 {
     std::size_t start = 0;
     for (std::size_t end = incoming_.find("\r\n"); end != std::string::npos; end = incoming_.find("\r\n", start)) {
         if (end - start > lineLimit) {
-            takeTooLong();
+            handleLineTooLong();
             return;
         }
         onLine_(std::string_view(incoming_).substr(start, end - start));
@@ -125,18 +125,18 @@
         start = end + 2;
     }
     incoming_.erase(0, start);
-    constexpr std::size_t halfOfTheEnd = 1; // The CR may be there already.
-    if (incoming_.size() > lineLimit + halfOfTheEnd) {
-        takeTooLong();
+    constexpr std::size_t partialLineBreak = 1; // The CR of the line break may have been received already.
+    if (incoming_.size() > lineLimit + partialLineBreak) {
+        handleLineTooLong();
         return;
     }
     read();
 }
 
-void LineConnection::takeTooLong()
+void LineConnection::handleLineTooLong()
 {
     const OnEnd onEnd = onEnd_;
-    onEnd(LineEnd::TooLong);
+    onEnd(LineConnectionEnd::TooLong);
     if (closing_) {
         discard();
     } else if (!closed_) {
@@ -146,7 +146,7 @@
 
 void LineConnection::discard()
 {
-    // A connection that is closed over bytes it has not read is reset, and the reset takes what was sent last with it.
+    // Closing a socket with unread data resets the connection, and the other side then loses the last data sent to it.
     if (!closed_) {
         incoming_.clear();
         read();
@@ -155,9 +155,9 @@
 
 void LineConnection::linger()
 {
-    boost::system::error_code ignored; // The other side may have reset the connection; reading tells.
+    boost::system::error_code ignored; // If the other side has reset the connection, the pending read reports it.
     socket_.shutdown(boost::asio::ip::tcp::socket::shutdown_send, ignored);
-    lingerTimer_.expires_after(lingerTime);
+    lingerTimer_.expires_after(lingerTimeout);
     lingerTimer_.async_wait([self = shared_from_this()](const boost::system::error_code &error) {
         if (!error && !self->closed_) {
             self->close();
@@ -186,19 +186,19 @@
             return;
         }
         if (error) {
-            self->end(LineEnd::Closed);
+            self->end(LineConnectionEnd::Closed);
             return;
         }
         self->write();
     });
 }
 
-void LineConnection::end(LineEnd reason)
+void LineConnection::end(LineConnectionEnd reason)
 {
-    const bool awaited = !closing_;
+    const bool ownerIsNotified = !closing_;
     const OnEnd onEnd = onEnd_;
     close();
-    if (awaited) {
+    if (ownerIsNotified) {
         onEnd(reason);
     }
 }
--- a/src/LineConnection.h
+++ b/src/LineConnection.h
@@ -13,13 +13,13 @@
 
 namespace Figward {
 
-/** Size of the longest line in bytes, without its end: the longest message of the protocols that run over lines. */
+/** Maximum length of a line in bytes, without CR LF. This bounds the messages of all protocols that run over lines. */
 constexpr std::size_t lineLimit = std::size_t{1} << 20U;
 
 /** Why a line connection ended. */
-enum class LineEnd {
-    Closed, ///< By the other side, or by a failure of the network.
-    TooLong, ///< A line was longer than lineLimit; something may still be sent.
+enum class LineConnectionEnd {
+    Closed, ///< Closed by the other side or by a network failure.
+    TooLong, ///< A line was longer than lineLimit. A final message may still be sent.
     Unreachable, ///< The connection could not be opened.
 };
 
@@ -28,42 +28,42 @@
 {
 public:
     using OnLine = std::function<void(std::string_view line)>;
-    using OnEnd = std::function<void(LineEnd end)>;
+    using OnEnd = std::function<void(LineConnectionEnd end)>;
 
     explicit LineConnection(boost::asio::ip::tcp::socket socket);
     /**
-     * Reads from a connection that is open. Neither callback is called after close() or closeAfterSending(). After LineEnd::TooLong the owner still has to
-     * call one of them; after other ends the connection is closed.
+     * Starts to read from a connection that is already open. Neither callback is called after close() or closeAfterSending(). After TooLong the owner has to
+     * call one of these two; after any other reason the connection is already closed.
      */
     void start(OnLine onLine, OnEnd onEnd);
-    /** Opens the connection, sends \p greeting, and reads. */
+    /** Opens the connection, sends \p greeting and starts to read. */
     void connect(const boost::asio::ip::tcp::endpoint &to, std::string greeting, OnLine onLine, OnEnd onEnd);
-    /** Sends \p text, which ends with CR LF. */
+    /** Sends \p text, which must end with CR LF. */
     void send(const std::string &text);
-    /** Ends the connection when what was sent before has gone out and the other side has closed, or has had a second to do so. */
+    /** Sends the pending data, then waits up to a second for the other side to close, and closes the connection. */
     void closeAfterSending();
-    /** Ends the connection at once. */
+    /** Closes the connection immediately. */
     void close();
 
 private:
-    void prepareSocket();
+    void setSocketOptions();
     void read();
-    void takeLines();
-    void takeTooLong();
+    void processLines();
+    void handleLineTooLong();
     void linger();
     void discard();
     void write();
-    void end(LineEnd reason);
+    void end(LineConnectionEnd reason);
 
     boost::asio::ip::tcp::socket socket_;
     boost::asio::steady_timer lingerTimer_;
     OnLine onLine_;
     OnEnd onEnd_;
-    std::string incoming_; ///< Read and not yet a whole line.
-    std::string outgoing_; ///< Not yet handed to the socket.
+    std::string incoming_; ///< Received data that is not yet a complete line.
+    std::string outgoing_; ///< Data not yet passed to the socket.
     std::string writing_;
     bool isWriting_ = false;
-    bool closing_ = false; ///< What comes in is dropped.
+    bool closing_ = false; ///< Set by closeAfterSending(); received data is then discarded.
     bool closed_ = false;
 };
 
--- a/src/LogEvents.h
+++ b/src/LogEvents.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines the numbered log events of figward; docs/EVENTS.md is their catalogue.
+ * Defines the numbered log events of figward. docs/EVENTS.md lists them for operators.
  *
  * Numbers are never reused. Ranges: 1xx process, 2xx configuration, 3xx membership and owners, 4xx upstreams and failover,
  * 5xx requests and sessions, 6xx platform, 7xx drain and quotas, 8xx input and output.
@@ -80,18 +80,18 @@
     MetricsUnavailable = 803,
 };
 
-/** One row of the catalogue. */
+/** One entry of the catalogue of log events. */
 struct LogEventInfo
 {
     LogNumber number_;
     LogLevel level_;
-    std::string_view name_; ///< Stable, such as "configuration-in-force".
+    std::string_view name_; ///< Stable name, such as "configuration-in-force".
     std::string_view meaning_; ///< One sentence for operators.
 };
 
-/** All rows, ordered by number. */
+/** All log events, ordered by number. */
 absl::Span<const LogEventInfo> logEventCatalogue();
-/** The row of \p number. */
+/** The catalogue entry of \p number. */
 const LogEventInfo &logEventInfo(LogNumber number);
 
 /** One key=value field of a log line. */
--- a/src/Organisations.h
+++ b/src/Organisations.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines the organisations of a configuration, and which of them a client's statement runs for.
+ * Defines the organisations of a configuration, and the lookup of a client's organisation by its key.
  */
 #pragma once
 
@@ -12,11 +12,11 @@
 
 namespace Figward {
 
-/** What an organisation may ask of all VMs together. */
+/** Rate limit of an organisation, over all VMs together. */
 struct OrganisationLimits
 {
-    double perSecond_ = 0; ///< Operations a second in the long run; zero: any number.
-    double burst_ = 0; ///< Operations beyond that at once.
+    double perSecond_ = 0; ///< Sustained operations per second; zero means unlimited.
+    double burst_ = 0; ///< Operations allowed at once beyond the sustained rate.
     bool operator==(const OrganisationLimits &) const = default;
 };
 
@@ -24,22 +24,22 @@
 struct Organisations
 {
     std::map<OrganisationId, OrganisationLimits> limits_;
-    absl::flat_hash_map<KeyDigest, OrganisationId> keys_; ///< Who holds a key.
+    absl::flat_hash_map<KeyDigest, OrganisationId> keys_; ///< The organisation of each key.
 };
 
-/** The organisation that holds the key; null if none does, or if there is no key. */
+/** The organisation to which \p key belongs; null if the key is absent or unknown. */
 const OrganisationId *holderOf(const Organisations &organisations, const std::optional<KeyDigest> &key);
 
-/** For whom a client's statement runs. */
+/** The organisation on whose behalf a client's statements run. */
 struct Caller
 {
-    bool admitted_ = false; ///< Otherwise the client must be refused: it is not known.
-    OrganisationId organisation_; ///< Empty: none; the configuration knows no organisations, or the database is public and the client has no key that is known.
+    bool admitted_ = false; ///< If false, the client has no known key and must be refused.
+    OrganisationId organisation_; ///< Empty if the configuration defines no organisations, or if the database is public and the client has no known key.
 };
 
 /**
- * Who a client with \p key is. A key that is known counts at public databases, too, so that the organisation's quota covers all that it asks.
- * \p organisations is null where the configuration has none: everybody is admitted.
+ * Identifies the client that presented \p key. A known key is used for public databases as well, so that the organisation's quota covers all its
+ * statements. If \p organisations is null, the configuration defines no organisations and every client is admitted.
  */
 Caller identifyCaller(const Organisations *organisations, bool isPublic, const std::optional<KeyDigest> &key);
 
--- a/src/Overloaded.h
+++ b/src/Overloaded.h
@@ -1,11 +1,11 @@
 /** \file
- * Defines Overloaded, which makes one visitor of a variant out of a lambda for each alternative.
+ * Defines Overloaded, which combines lambdas into one visitor of a variant.
  */
 #pragma once
 
 namespace Figward {
 
-/** Calls the overload that fits the alternative of a variant. */
+/** Visitor with one lambda for each alternative of a variant. */
 template<typename... Handlers>
 struct Overloaded : Handlers...
 {
--- a/src/Request.cpp
+++ b/src/Request.cpp
@@ -10,8 +10,8 @@
 
 namespace {
 
-// The library is built with its own string view, which the standard one does not convert to.
-constexpr absl::string_view tokenPrefix = "f1:"; // Format version; a later format gets another prefix.
+// absl is built with its own string_view, to which std::string_view does not convert.
+constexpr absl::string_view tokenPrefix = "f1:"; // Version of the format. A later format must use another prefix.
 
 absl::Status malformed()
 {
--- a/src/SocketAddress.h
+++ b/src/SocketAddress.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines the reading of "IP:port" texts.
+ * Defines the parser for addresses of the form "IP:port".
  */
 #pragma once
 
@@ -9,14 +9,14 @@
 
 namespace Figward {
 
-/** An IP number and a port. */
+/** An IP address and a port. */
 struct SocketAddress
 {
     boost::asio::ip::address ip_;
     unsigned short port_ = 0;
 };
 
-/** Reads "IP:port"; nothing if \p text is anything else. */
+/** Parses "IP:port". Returns nothing if \p text is malformed. */
 std::optional<SocketAddress> parseSocketAddress(const std::string &text);
 
 } // namespace Figward
--- a/src/TimerService.cpp
+++ b/src/TimerService.cpp
@@ -4,7 +4,7 @@
 
 namespace Figward {
 
-bool TimerService::Later::operator()(const Armed &a, const Armed &b) const
+bool TimerService::ExpiresLater::operator()(const ArmedTimer &a, const ArmedTimer &b) const
 {
     return std::tie(a.at_, a.order_) > std::tie(b.at_, b.order_);
 }
--- a/src/TimerService.h
+++ b/src/TimerService.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines the timer service of the core: parts subscribe to a topic and are called when a time they armed has come.
+ * Defines the timer service of the core. Each timer has a topic, and the subscriber of that topic is called when the timer expires.
  */
 #pragma once
 
@@ -12,7 +12,7 @@
 
 namespace Figward {
 
-/** What a timer is for; the reducer has one subscriber a topic. */
+/** Purpose of a timer. The reducer has one subscriber for each topic. */
 enum class TimerTopic {
     EntryDeadline,
     OwnerDeadline,
@@ -31,40 +31,40 @@
     SessionReview,
 };
 
-/** One armed timer. Timers are not cancelled: a subscriber ignores a tag whose key it no longer knows. */
+/** Identifies a timer to its subscriber. Timers cannot be cancelled; the subscriber ignores a tag whose key it no longer knows. */
 struct TimerTag
 {
     TimerTopic topic_{};
-    GroupId group_; ///< Empty when the timer is not of one group.
-    std::uint64_t key_ = 0; ///< The subscriber's own, such as a request id.
+    GroupId group_; ///< Empty if the timer does not belong to a group.
+    std::uint64_t key_ = 0; ///< Chosen by the subscriber, such as a request id.
 };
 
-/** Orders armed timers by time, then by the order of arming, so that runs repeat exactly. */
+/** Holds armed timers, ordered by time and then by the order in which they were armed, so that runs are reproducible. */
 class TimerService
 {
 public:
-    /** Asks that \p tag be returned by takeDue() at \p at or soon after. */
+    /** Arms a timer. takeDue() returns \p tag at the first call with a time not before \p at. */
     void arm(Time at, TimerTag tag);
-    /** Removes and returns what is due at \p now, earliest first. */
+    /** Removes the timers that have expired at \p now and returns their tags, earliest first. */
     std::vector<TimerTag> takeDue(Time now);
-    /** The earliest armed time. */
+    /** Expiry time of the next timer; nothing if none is armed. */
     [[nodiscard]] std::optional<Time> next() const;
-    /** Number of timers armed. */
+    /** Number of armed timers. */
     [[nodiscard]] std::size_t size() const;
 
 private:
-    struct Armed
+    struct ArmedTimer
     {
         Time at_;
         std::uint64_t order_ = 0;
         TimerTag tag_;
     };
-    struct Later
+    struct ExpiresLater
     {
-        bool operator()(const Armed &a, const Armed &b) const;
+        bool operator()(const ArmedTimer &a, const ArmedTimer &b) const;
     };
 
-    std::priority_queue<Armed, std::vector<Armed>, Later> armed_;
+    std::priority_queue<ArmedTimer, std::vector<ArmedTimer>, ExpiresLater> armed_;
     std::uint64_t nextOrder_ = 0;
 };
 
--- a/src/Units.h
+++ b/src/Units.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines the units of the core: time as a field of events (there is no clock in the core) and counts that must not be mixed.
+ * Defines the core's types for time and for counts that must not be mixed up. The core reads no clock; time reaches it as a field of events.
  */
 #pragma once
 
@@ -9,7 +9,7 @@
 
 namespace Figward {
 
-/** Marks instants of one process's monotonic time; instants of different processes are never compared. */
+/** The monotonic clock of one process. Times of different processes are never compared. */
 struct ProcessClock
 {
     using rep = std::int64_t;
@@ -19,14 +19,14 @@
     static constexpr bool is_steady = true;
 };
 
-/** A length of time, in microseconds. */
+/** A duration in microseconds. */
 using Duration = std::chrono::microseconds;
-/** An instant of one process's monotonic time. */
+/** A time on one process's monotonic clock. */
 using Time = std::chrono::time_point<ProcessClock>;
 
 /** Number of connections to the members of a group. */
 using ConnectionCount = StrongValue<struct ConnectionCountTag, std::uint32_t>;
-/** Number of statements that a group runs at once. */
+/** Number of statements that a group runs concurrently. */
 using SlotCount = StrongValue<struct SlotCountTag, std::uint32_t>;
 
 /** \p d in whole milliseconds, for logs and reports. */
--- a/src/WireHeartbeat.cpp
+++ b/src/WireHeartbeat.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-/** More operations or tokens are in no request that makes sense. */
-constexpr double mostWanted = 1e6;
+/** Limit on the permits in one request or grant; a larger number is not plausible. */
+constexpr double maxPermits = 1e6;
 
 std::uint64_t micros(Duration duration)
 {
@@ -108,7 +108,7 @@
     const v1::AdmissionRequest &body = in.admission_request();
     AdmissionRequest request{in.name(), VmId(in.incarnation()), in.address(), ZoneId(in.zone()), OrganisationId(body.organisation())};
     request.number_ = body.number();
-    request.wanted_ = std::clamp(body.wanted(), 0.0, mostWanted);
+    request.wanted_ = std::clamp(body.wanted(), 0.0, maxPermits);
     request.lends_ = body.lends();
     return request;
 }
@@ -117,7 +117,7 @@
 {
     const v1::AdmissionGrant &body = in.admission_grant();
     AdmissionGrant grant{VmId(in.incarnation()), VmId(body.to()), OrganisationId(body.organisation()), body.number()};
-    grant.granted_ = std::clamp(body.granted(), 0.0, mostWanted);
+    grant.granted_ = std::clamp(body.granted(), 0.0, maxPermits);
     grant.nextIn_ = duration(body.next_in());
     return grant;
 }
--- a/src/WireHeartbeat.h
+++ b/src/WireHeartbeat.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines how heartbeats between VMs, and their requests for permits, are written as datagrams.
+ * Defines the datagram encoding of heartbeats between VMs, and of requests and grants of permits.
  */
 #pragma once
 
@@ -12,15 +12,15 @@
 
 namespace Figward::Wire {
 
-/** The datagram of \p heartbeat. */
+/** Encodes \p heartbeat as a datagram. */
 std::string encodeHeartbeat(const VmHeartbeat &heartbeat);
-/** The datagram of \p request. */
+/** Encodes \p request as a datagram. */
 std::string encodeAdmissionRequest(const AdmissionRequest &request);
-/** The datagram of \p grant. */
+/** Encodes \p grant as a datagram. */
 std::string encodeAdmissionGrant(const AdmissionGrant &grant);
 
 using VmDatagram = std::variant<VmHeartbeat, AdmissionRequest, AdmissionGrant>;
-/** Reads a datagram; nothing if it is none of ours. */
+/** Decodes a datagram. Returns nothing if it is malformed. */
 std::optional<VmDatagram> decodeDatagram(std::string_view datagram);
 
 } // namespace Figward::Wire
--- a/test/correctness/LineProtocolCarriesStatements.cpp
+++ b/test/correctness/LineProtocolCarriesStatements.cpp
@@ -17,11 +17,11 @@
 
 std::optional<SessionReply> replyOf(const std::vector<std::string> &lines)
 {
-    ReplyReader reader;
+    ReplyParser parser;
     std::optional<SessionReply> reply;
     bool wellFormed = true;
     for (const std::string &line : lines) {
-        reply = reader.take(line, wellFormed);
+        reply = parser.addLine(line, wellFormed);
     }
     return wellFormed ? reply : std::nullopt;
 }
--- a/test/correctness/PlatformDayOverLoopback.cpp
+++ b/test/correctness/PlatformDayOverLoopback.cpp
@@ -4,8 +4,8 @@
 
 using namespace Figward::Platform;
 
-// Three proxies over a stand-in of the platform, with real sockets: the store goes away for a second, a database is added, the primary crashes and a proxy is
-// shut down while clients write and read back. What they were told agrees with the members' logs, and writes stall for a few seconds at most.
+// Runs three proxies with real sockets against a stand-in for the platform. While clients write and read back, the store is unavailable for a second, a
+// database is added, the primary crashes and a proxy is shut down. The answers must agree with the members' logs, and writes may stall for a few seconds only.
 TEST(PlatformDayOverLoopback, keepsItsPromises)
 {
     const absl::StatusOr<PlatformDemoResult> result = playPlatformDemo();
--- a/test/error/KeptConnectionsGoSilent.cpp
+++ b/test/error/KeptConnectionsGoSilent.cpp
@@ -16,11 +16,14 @@
 
 using boost::asio::ip::tcp;
 
-/** Answers each request on a connection until that connection is silenced; silent ones stay open, as behind a link that lost its state. */
-class SilentServer
+/**
+ * Answers requests until stopAnswering() is called. From then on the existing connections stay open but get no answers, as when a network device has lost
+ * its connection state.
+ */
+class UnresponsiveServer
 {
 public:
-    explicit SilentServer(boost::asio::io_context &context)
+    explicit UnresponsiveServer(boost::asio::io_context &context)
         : acceptor_(context, tcp::endpoint(boost::asio::ip::make_address("127.0.0.1"), 0))
     {
         accept();
@@ -36,10 +39,10 @@
         return connections_.size();
     }
 
-    void silenceAll()
+    void stopAnswering()
     {
         for (const std::shared_ptr<Connection> &connection : connections_) {
-            connection->silent_ = true;
+            connection->unresponsive_ = true;
         }
     }
 
@@ -48,7 +51,7 @@
     {
         tcp::socket socket_;
         std::array<char, 4096> received_{};
-        bool silent_ = false;
+        bool unresponsive_ = false;
     };
 
     void accept()
@@ -69,7 +72,7 @@
                                                 if (error) {
                                                     return;
                                                 }
-                                                if (!connection->silent_) {
+                                                if (!connection->unresponsive_) {
                                                     static const std::string answer = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
                                                     boost::asio::write(connection->socket_, boost::asio::buffer(answer));
                                                 }
@@ -91,11 +94,12 @@
 
 } // namespace
 
-// Guards against calls that hang one after the other on kept connections which went silent together: the first that gets no answer shows that the others cannot be relied on.
+// Guards against a series of calls that time out one after the other on idle connections which all became unresponsive at the same time. After the first
+// timeout, the client must not use the other idle connections any more.
 TEST(KeptConnectionsGoSilent, andOnlyOneCallHangs)
 {
     boost::asio::io_context context;
-    SilentServer server(context);
+    UnresponsiveServer server(context);
     HttpClient client(context, server.address());
     const auto call = [&](std::chrono::milliseconds timeout, unsigned &status) {
         client.call(requestWithin(timeout), [&status](const HttpResponse &response) { status = response.status_; });
@@ -107,23 +111,23 @@
     context.run_for(std::chrono::milliseconds(200));
     ASSERT_EQ(first, (std::array<unsigned, 3>{200, 200, 200}));
     ASSERT_EQ(server.connections(), 3U);
-    server.silenceAll();
+    server.stopAnswering();
 
-    unsigned hangs = 1;
-    call(std::chrono::milliseconds(100), hangs);
+    unsigned firstStatus = 1;
+    call(std::chrono::milliseconds(100), firstStatus);
     context.run_for(std::chrono::milliseconds(300));
-    ASSERT_EQ(hangs, 0U);
-    unsigned next = 0;
-    call(std::chrono::milliseconds(100), next);
+    ASSERT_EQ(firstStatus, 0U);
+    unsigned nextStatus = 0;
+    call(std::chrono::milliseconds(100), nextStatus);
     context.run_for(std::chrono::milliseconds(300));
-    EXPECT_EQ(next, 200U);
+    EXPECT_EQ(nextStatus, 200U);
 }
 
-// Guards against the same for a call that must not hang on a kept connection at all.
+// Guards against a call that requests a new connection but is sent on an idle one that has become unresponsive.
 TEST(KeptConnectionsGoSilent, andACallOnANewOneIsAnswered)
 {
     boost::asio::io_context context;
-    SilentServer server(context);
+    UnresponsiveServer server(context);
     HttpClient client(context, server.address());
     unsigned status = 0;
     bool began = false;
@@ -132,7 +136,7 @@
     context.run_for(std::chrono::milliseconds(200));
     ASSERT_EQ(status, 200U);
     EXPECT_TRUE(began);
-    server.silenceAll();
+    server.stopAnswering();
     HttpRequest request = requestWithin(std::chrono::milliseconds(100));
     request.newConnection_ = true;
     status = 0;
--- a/test/error/PlatformInputIsMalformed.cpp
+++ b/test/error/PlatformInputIsMalformed.cpp
@@ -27,13 +27,13 @@
     return text.replace(text.find(from), from.size(), to);
 }
 
-std::optional<DirectoryEntry> memberOf(const std::string &body)
+std::optional<DirectoryEntry> parseMember(const std::string &body)
 {
     const std::optional<StoreObject> object = readObject(body);
     return object ? readMember(*object) : std::nullopt;
 }
 
-/** Changes, drops or adds a few bytes. */
+/** Changes, removes or inserts a few bytes. */
 std::string mutate(std::string text, std::mt19937_64 &random)
 {
     for (unsigned change = random() % 4 + 1; change > 0 && !text.empty(); --change) {
@@ -52,11 +52,11 @@
     return text;
 }
 
-/** A listener on a thread of its own, which counts the sessions that it reports. */
-class ListenerBesideClient : public EventSink
+/** Runs a listener on its own thread and counts the session events that it posts. */
+class ListenerOnThread : public EventSink
 {
 public:
-    ListenerBesideClient()
+    ListenerOnThread()
         : listener_(context_, *this)
         , work_(context_.get_executor())
     {
@@ -64,7 +64,7 @@
         thread_ = std::thread([this] { context_.run(); });
     }
 
-    ~ListenerBesideClient() override
+    ~ListenerOnThread() override
     {
         context_.stop();
         thread_.join();
@@ -81,14 +81,14 @@
         }
     }
 
-    /** Sends \p text, and returns all that is answered until the connection ends; what ended it goes to \p end. */
+    /** Sends \p text and returns everything received until the connection ends; \p end is set to the error that ended it. */
     std::string exchange(const std::string &text, boost::system::error_code &end)
     {
         boost::asio::io_context context;
         boost::asio::ip::tcp::socket client(context);
         client.connect({boost::asio::ip::make_address("127.0.0.1"), listener_.port()});
         std::thread writer([&] {
-            boost::system::error_code ignored; // The listener may have closed; the answer tells.
+            boost::system::error_code ignored; // The listener may have closed the connection; the answer shows why.
             boost::asio::write(client, boost::asio::buffer(text), ignored);
         });
         std::string answer;
@@ -100,7 +100,7 @@
     std::atomic<unsigned> opened_ = 0;
     std::atomic<unsigned> statements_ = 0;
     std::atomic<unsigned> closed_ = 0;
-    bool refuse_ = false; ///< Every database is unknown.
+    bool refuse_ = false; ///< Refuse every session because its database is unknown.
 
 private:
     boost::asio::io_context context_;
@@ -113,14 +113,14 @@
 
 } // namespace
 
-// A client, or whoever reached the port, sends lines that are none of the protocol's. Each is told apart with a reason; a control character inside a line
-// must not reach a member, where it would end the line and begin another statement that no client sent.
+// Lines that the protocol does not allow must be rejected with a reason. A control character inside a line must not reach a member, where it would end the
+// line and start another statement that no client sent.
 TEST(PlatformInputIsMalformed, linesOfClients)
 {
     for (const char *line : {"", "GET / HTTP/1.1", "QUERY", "QUERY - READ a", "QUERY 1 READ a\nQUERY 2 WRITE b", "START", "QUERY 1 READ a\rb"}) {
         const ClientLine parsed = parseClientLine(line);
-        ASSERT_TRUE(std::holds_alternative<UnknownLine>(parsed)) << line;
-        EXPECT_THAT(std::get<UnknownLine>(parsed).reason_, Not(IsEmpty()));
+        ASSERT_TRUE(std::holds_alternative<InvalidLine>(parsed)) << line;
+        EXPECT_THAT(std::get<InvalidLine>(parsed).reason_, Not(IsEmpty()));
     }
     for (const char *line : {"QUERY 1 ", "QUERY 1 DROP a", "QUERY 1 PREPARE s q2c", "QUERY 1 SET name", "QUERY 1 EXECUTE s", "QUERY 1 READ"}) {
         const ClientLine parsed = parseClientLine(line);
@@ -129,22 +129,22 @@
     }
 }
 
-// Another writer than the member left its entry: a field is missing or of another type, or holds a word that is not known. It names no member.
+// A member's object with a missing field, a field of the wrong type or an unknown value must be rejected.
 TEST(PlatformInputIsMalformed, entriesOfMembers)
 {
-    ASSERT_TRUE(memberOf(goodMember).has_value());
+    ASSERT_TRUE(parseMember(goodMember).has_value());
     for (const auto &[from, to] : std::vector<std::pair<std::string, std::string>>{{R"("service":"s",)", ""},
                                                                                    {R"("address":"10.0.0.1:80")", R"("address":"nowhere")"},
                                                                                    {R"("state":"ready")", R"("state":"sleeping")"},
                                                                                    {R"("db_role":"replica")", R"("db_role":7)"},
                                                                                    {R"("seq":4)", R"("seq":"4")"},
                                                                                    {R"("seq":4)", R"("seq":4,"born":"then")"}}) {
-        EXPECT_FALSE(memberOf(replaced(goodMember, from, to)).has_value()) << to;
+        EXPECT_FALSE(parseMember(replaced(goodMember, from, to)).has_value()) << to;
     }
-    EXPECT_EQ(memberOf(replaced(goodMember, R"("seq":4)", R"("seq":4,"born":1700000000000)"))->bornMillis_, 1700000000000);
+    EXPECT_EQ(parseMember(replaced(goodMember, R"("seq":4)", R"("seq":4,"born":1700000000000)"))->bornMillis_, 1700000000000);
 }
 
-// Bytes of every kind reach the readers: each answers with what it could read or with nothing, and none of them ends the process.
+// The parsers must accept or reject arbitrary bytes without crashing the process.
 TEST(PlatformInputIsMalformed, mutationsOfEverything)
 {
     std::mt19937_64 random(7);
@@ -158,28 +158,28 @@
     unsigned configurations = 0;
     for (int round = 0; round < 20000; ++round) {
         parseClientLine(mutate("QUERY 5c0e PREPARE s1 WRITE q2c", random));
-        ReplyReader reader;
+        ReplyParser parser;
         bool wellFormed = true;
-        reader.take(mutate("COMPLETE 7.1f3", random), wellFormed);
-        reader.take(mutate("READY I 3.1209", random), wellFormed);
+        parser.addLine(mutate("COMPLETE 7.1f3", random), wellFormed);
+        parser.addLine(mutate("READY I 3.1209", random), wellFormed);
         parseReport(mutate("replica 3 3.1209 0 12 2 17", random));
-        memberOf(mutate(goodMember, random));
+        parseMember(mutate(goodMember, random));
         const std::optional<StoreObject> object = readObject(mutate(goodConfiguration, random));
         configurations += object && readConfiguration(object->spec_).ok() ? 1 : 0;
         readList(mutate(R"({"items":[],"has_more":false,"store_revision":530})", random));
         readEvents(mutate(R"({"events":[{"deleted":false,"object":{}}],"store_revision":533})", random));
         Wire::decodeDatagram(mutate(datagram, random));
     }
-    EXPECT_GT(configurations, 0U) << "some changes do no harm";
+    EXPECT_GT(configurations, 0U) << "some mutations leave the configuration valid";
     EXPECT_LT(configurations, 20000U);
 }
 
-// A client sends a line without end. It gets one error that names the limit and then the end of its session; the rest of the line is read and dropped
-// meanwhile, since a connection that is closed over unread bytes is reset, and the reset takes the error with it.
+// A client that sends a line without an end must receive one error that states the limit, and then the end of its session. The rest of the line is read and
+// discarded, because closing a socket with unread data resets the connection and the client would lose the error.
 TEST(PlatformInputIsMalformed, aLineWithoutEnd)
 {
     constexpr std::size_t size = std::size_t{3} << 20U;
-    ListenerBesideClient listener;
+    ListenerOnThread listener;
     boost::system::error_code end;
     EXPECT_EQ(listener.exchange("START db\r\nQUERY 1 READ " + std::string(size, 'a'), end), tooLong);
     EXPECT_EQ(end, boost::asio::error::eof);
@@ -187,12 +187,12 @@
     EXPECT_EQ(listener.closed_, 1U);
 }
 
-// A line of just the size that is allowed is taken, one of a byte more is not, whether its end came with it or not.
+// A line of the maximum size must be accepted, and one that is a byte longer rejected, whether or not its end has been received.
 TEST(PlatformInputIsMalformed, aLineOfTheLongestSize)
 {
     const std::string verb = "START ";
     for (const std::size_t size : {lineLimit, lineLimit + 1}) {
-        ListenerBesideClient listener;
+        ListenerOnThread listener;
         boost::system::error_code end;
         const std::string answer = listener.exchange(verb + std::string(size - verb.size(), 'd') + "\r\nNONSENSE\r\n", end);
         EXPECT_EQ(answer, size > lineLimit ? tooLong : "ERROR MALFORMED no message of this protocol\r\n");
@@ -201,11 +201,11 @@
     }
 }
 
-// A client does not wait for answers: more lines follow one that is refused, in the same packet. They belong to a session that has ended, and are dropped;
-// taken for a session that is no longer known, they would end the process.
+// A client may send more lines in the same packet after one that ends its session. These lines must be discarded; handling them for a session that is no
+// longer known would crash the process.
 TEST(PlatformInputIsMalformed, linesAfterOneThatEndsTheSession)
 {
-    ListenerBesideClient listener;
+    ListenerOnThread listener;
     boost::system::error_code end;
     EXPECT_EQ(listener.exchange("START db\r\nNONSENSE\r\nQUERY 1 READ a\r\nNONSENSE\r\n", end), "ERROR MALFORMED no message of this protocol\r\n");
     EXPECT_EQ(end, boost::asio::error::eof);
@@ -214,10 +214,10 @@
     EXPECT_EQ(listener.exchange("START unknown\r\nQUERY 1 READ a\r\nQUERY 2 READ a\r\n", end), "ERROR NODB no such database\r\n");
     EXPECT_EQ(end, boost::asio::error::eof);
     EXPECT_EQ(listener.statements_, 0U);
-    EXPECT_EQ(listener.exchange("NONSENSE\r\n", end), "ERROR MALFORMED no message of this protocol\r\n") << "the listener still serves";
+    EXPECT_EQ(listener.exchange("NONSENSE\r\n", end), "ERROR MALFORMED no message of this protocol\r\n") << "the listener still accepts sessions";
 }
 
-// Guards against a configuration that cannot be read and a line that does not say where; the line shows no key.
+// The error for an invalid configuration must name the invalid entry and must not contain keys.
 TEST(PlatformInputIsMalformed, aConfigurationNamesTheEntryThatCannotBeRead)
 {
     const auto reasonOf = [](const char *routes, const char *organisations) {
