--- a/src/Request.h
+++ b/src/Request.h
@@ -50,8 +50,7 @@
     std::string body_; ///< Opaque to figward; the upstream interprets it.
     std::optional<IdempotencyKey> key_; ///< Required for Write, Commit and CancelKey, but absent for a Write inside a transaction.
     Sequence acknowledgedBelow_; ///< The caller will not retry requests of its session with lower sequence numbers.
-    bool repeated_ =
-        false; ///< An earlier request used this key and its outcome is unknown to the caller, so an answer "not run" must be true of that request, too.
+    bool repeated_ = false; ///< The key was used before with an outcome unknown to the caller; "not run" must then be true of that request, too.
     bool idempotent_ = false; ///< The caller allows this write to run more than once.
     TransactionId transaction_; ///< Non-zero inside a transaction; the entry proxy assigns it in its answer to Begin.
     SessionToken token_;
