--- a/src/Configuration.h
+++ b/src/Configuration.h
@@ -1,7 +1,7 @@
 /** \file
- * Defines the configuration in force: services, their database groups, classes of work and the policy of the whole system.
+ * Defines a configuration: services, their database groups, work classes and the policy of the whole system.
  *
- * ConfigurationText reads it from what operators write; these structs are always consistent.
+ * ConfigurationText parses and checks the text written by operators, so that these structs are always consistent.
  */
 #pragma once
 
@@ -27,7 +27,7 @@
     MemberId id_;
     ZoneId zone_;
     std::string address_; ///< "host:port".
-    bool leaving_ = false; ///< It gets no new work; transactions that are open there finish.
+    bool leaving_ = false; ///< The member gets no new work; transactions open on it may finish.
     bool operator==(const MemberConfig &) const = default;
 };
 
@@ -37,12 +37,12 @@
     GroupId id_;
     ServiceId service_;
     std::vector<MemberConfig> members_;
-    ConnectionCount connectionLimit_; ///< What the group accepts from all proxies together.
-    SlotCount slots_; ///< Statements that the group runs at once.
+    ConnectionCount connectionLimit_; ///< Maximum number of connections from all proxies together.
+    SlotCount slots_; ///< Maximum number of statements that run concurrently on the group.
     bool operator==(const GroupConfig &) const = default;
 };
 
-/** A service: groups with the callers that they serve. */
+/** A service with its work classes and database groups. */
 struct ServiceConfig
 {
     ServiceId id_;
@@ -51,23 +51,23 @@
     std::vector<GroupId> groups_;
 };
 
-/** Settings that all proxies share. Each has a default that fits the sizes of today. */
+/** Settings shared by all proxies. The defaults suit the current size of the system. */
 struct Policy
 {
     unsigned ownersPerGroup_ = 3;
-    Duration probeInterval_ = std::chrono::milliseconds(100); ///< Between probe rounds of the first owner in rank.
-    Duration slowProbeInterval_ = std::chrono::milliseconds(1000); ///< Between probe rounds of the other owners.
+    Duration probeInterval_ = std::chrono::milliseconds(100); ///< Interval between probe rounds of the owner of first rank.
+    Duration slowProbeInterval_ = std::chrono::milliseconds(1000); ///< Interval between probe rounds of the other owners.
     Duration probeTimeout_ = std::chrono::milliseconds(100);
-    unsigned missedProbes_ = 3; ///< Missed in a row before a member is suspected.
-    Duration statementTimeout_ = std::chrono::seconds(2); ///< A statement unanswered for so long costs its connection.
+    unsigned missedProbes_ = 3; ///< Consecutive missed probes after which a member is suspected.
+    Duration statementTimeout_ = std::chrono::seconds(2); ///< A connection is closed if a statement on it is not answered within this time.
     Duration idleConnectionLife_ = std::chrono::seconds(30);
-    unsigned queueLimit_ = 200; ///< Requests that wait at an owner of a group.
-    unsigned retryBudgetPercent_ = 20; ///< Retries allowed for each hundred fresh requests.
-    Duration keyRetention_ = std::chrono::hours(24); ///< Sessions older than this are trimmed.
-    Duration drainTimeout_ = std::chrono::seconds(30); ///< Open transactions of a draining proxy are rolled back after this.
+    unsigned queueLimit_ = 200; ///< Maximum number of queued requests at an owner of a group.
+    unsigned retryBudgetPercent_ = 20; ///< Retries allowed per hundred new requests.
+    Duration keyRetention_ = std::chrono::hours(24); ///< Idempotency keys of sessions older than this are deleted.
+    Duration drainTimeout_ = std::chrono::seconds(30); ///< Time after which the open transactions of a draining proxy are rolled back.
 };
 
-/** A whole accepted configuration. */
+/** A complete accepted configuration. */
 struct Configuration
 {
     ConfigVersion version_;
--- a/src/ConfigurationApply.cpp
+++ b/src/ConfigurationApply.cpp
@@ -12,9 +12,9 @@
 using Stage = ConfigurationApply::Stage;
 
 constexpr Duration callTimeout = std::chrono::seconds(2);
-constexpr Duration firstPause = std::chrono::milliseconds(200);
-constexpr unsigned maxTries = 6; // With doubling pauses about 6 s besides the timeouts: an operator waits.
-constexpr std::size_t keptAttempts = 16;
+constexpr Duration firstRetryDelay = std::chrono::milliseconds(200);
+constexpr unsigned maxAttempts = 6; // With doubling delays about 6 s in total, not counting timeouts: an operator is waiting for the result.
+constexpr std::size_t maxEarlierAttempts = 16;
 
 ApplyStep finish(ApplyOutcome outcome, ConfigVersion version)
 {
@@ -23,7 +23,7 @@
 
 ApplyStep call(ConfigurationApply &apply, Stage stage, PlatformBody body)
 {
-    const Duration delay = apply.tries_ == 0 ? Duration(0) : firstPause * (1U << (apply.tries_ - 1));
+    const Duration delay = apply.failedAttempts_ == 0 ? Duration(0) : firstRetryDelay * (1U << (apply.failedAttempts_ - 1));
     apply.stage_ = stage;
     return {.call_ = PlatformCall{CallId(apply.nextCall_++), callTimeout, std::move(body)}, .delay_ = delay};
 }
@@ -35,18 +35,18 @@
 
 ApplyStep writePart(ConfigurationApply &apply)
 {
-    const std::string &text = apply.missing_.front().text_;
+    const std::string &text = apply.partsToWrite_.front().text_;
     return call(apply, Stage::WritePart, PutObject{partPath(contentHash(text)), ObjectVersion(), text});
 }
 
 ApplyStep checkPart(ConfigurationApply &apply)
 {
-    return call(apply, Stage::CheckPart, GetObject{partPath(contentHash(apply.missing_.front().text_))});
+    return call(apply, Stage::CheckPart, GetObject{partPath(contentHash(apply.partsToWrite_.front().text_))});
 }
 
 ApplyStep writeManifest(ConfigurationApply &apply)
 {
-    return call(apply, Stage::WriteManifest, PutObject{manifestPath(), apply.replaces_, encodeManifest(apply.next_)});
+    return call(apply, Stage::WriteManifest, PutObject{manifestPath(), apply.replacedVersion_, encodeManifest(apply.newManifest_)});
 }
 
 ApplyStep readManifest(ConfigurationApply &apply, Stage stage)
@@ -56,34 +56,34 @@
 
 ApplyStep writeNext(ConfigurationApply &apply)
 {
-    apply.tries_ = 0;
-    return apply.missing_.empty() ? writeManifest(apply) : writePart(apply);
+    apply.failedAttempts_ = 0;
+    return apply.partsToWrite_.empty() ? writeManifest(apply) : writePart(apply);
 }
 
-ApplyStep readFormerPart(ConfigurationApply &apply)
+ApplyStep readCurrentPart(ConfigurationApply &apply)
 {
-    return call(apply, Stage::ReadFormerPart, GetObject{partPath(apply.unread_.front().hash_)});
+    return call(apply, Stage::ReadCurrentPart, GetObject{partPath(apply.partsToRead_.front().hash_)});
 }
 
-/** Goes on once the whole present configuration is known: refuses member changes that could lose writes, or begins to write. */
+/** Reads the next part of the current configuration. Once all are known, refuses member changes that could lose writes, or begins to write. */
 ApplyStep compareMembers(ConfigurationApply &apply)
 {
-    if (!apply.unread_.empty()) {
-        apply.tries_ = 0;
-        return readFormerPart(apply);
+    if (!apply.partsToRead_.empty()) {
+        apply.failedAttempts_ = 0;
+        return readCurrentPart(apply);
     }
-    const CheckedConfiguration former = checkConfiguration(joinConfiguration(apply.former_));
-    const CheckedConfiguration next = checkConfiguration(joinConfiguration(apply.parts_));
-    if (former.configuration_ && next.configuration_) {
-        std::vector<GroupId> unsafe = unsafeMemberChanges(*former.configuration_, *next.configuration_);
+    const CheckedConfiguration currentConfiguration = checkConfiguration(joinConfiguration(apply.currentParts_));
+    const CheckedConfiguration newConfiguration = checkConfiguration(joinConfiguration(apply.parts_));
+    if (currentConfiguration.configuration_ && newConfiguration.configuration_) {
+        std::vector<GroupId> unsafe = unsafeMemberChanges(*currentConfiguration.configuration_, *newConfiguration.configuration_);
         if (!unsafe.empty()) {
-            return {.result_ = ApplyResult{ApplyOutcome::UnsafeChange, ConfigVersion(apply.next_.version_.value() - 1), std::move(unsafe)}};
+            return {.result_ = ApplyResult{ApplyOutcome::UnsafeChange, ConfigVersion(apply.newManifest_.version_.value() - 1), std::move(unsafe)}};
         }
     }
     return writeNext(apply);
 }
 
-bool isMissing(PlatformStatus status)
+bool callFailed(PlatformStatus status)
 {
     return status == PlatformStatus::Unavailable || status == PlatformStatus::Lost;
 }
@@ -99,129 +99,129 @@
     return references;
 }
 
-/** Notes which parts of the \p present configuration are known from the new one, and which must be read. */
-void planComparison(ConfigurationApply &apply, const Manifest &present)
+/** Determines which parts of the \p current configuration are known because the new one contains them too, and which must be read. */
+void planComparison(ConfigurationApply &apply, const Manifest &current)
 {
-    for (const ManifestPart &part : present.parts_) {
+    for (const ManifestPart &part : current.parts_) {
         const auto same = [&](const ConfigurationPart &p) { return p.name_ == part.name_ && contentHash(p.text_) == part.hash_; };
         const auto known = std::ranges::find_if(apply.parts_, same);
         if (known == apply.parts_.end()) {
-            apply.unread_.push_back(part);
+            apply.partsToRead_.push_back(part);
         } else {
-            apply.former_.push_back(*known);
+            apply.currentParts_.push_back(*known);
         }
     }
 }
 
-/** Plans the update that replaces \p present. */
-void planUpdate(ConfigurationApply &apply, const Manifest &present, ObjectVersion replaces)
+/** Prepares the update that replaces \p current. */
+void planUpdate(ConfigurationApply &apply, const Manifest &current, ObjectVersion replaces)
 {
-    apply.replaces_ = replaces;
-    apply.next_ = {ConfigVersion(present.version_.value() + 1), apply.attempt_, present.earlierAttempts_, referencesOf(apply.parts_)};
-    auto &earlier = apply.next_.earlierAttempts_;
-    earlier.insert(earlier.begin(), present.attempt_);
-    earlier.resize(std::min(earlier.size(), keptAttempts));
+    apply.replacedVersion_ = replaces;
+    apply.newManifest_ = {ConfigVersion(current.version_.value() + 1), apply.attempt_, current.earlierAttempts_, referencesOf(apply.parts_)};
+    auto &earlier = apply.newManifest_.earlierAttempts_;
+    earlier.insert(earlier.begin(), current.attempt_);
+    earlier.resize(std::min(earlier.size(), maxEarlierAttempts));
     std::set<std::string> known;
-    for (const ManifestPart &part : present.parts_) {
+    for (const ManifestPart &part : current.parts_) {
         known.insert(part.hash_);
     }
     for (const ConfigurationPart &part : apply.parts_) {
         if (!known.contains(contentHash(part.text_))) {
-            apply.missing_.push_back(part);
+            apply.partsToWrite_.push_back(part);
         }
     }
 }
 
-ApplyStep takeFirstManifest(ConfigurationApply &apply, const PlatformAnswer &answer)
+ApplyStep onManifestRead(ConfigurationApply &apply, const PlatformAnswer &answer)
 {
-    if (isMissing(answer.status_)) {
-        return ++apply.tries_ < maxTries ? readManifest(apply, Stage::ReadManifest) : giveUp(apply);
+    if (callFailed(answer.status_)) {
+        return ++apply.failedAttempts_ < maxAttempts ? readManifest(apply, Stage::ReadManifest) : giveUp(apply);
     }
-    Manifest present;
+    Manifest current;
     if (answer.status_ == PlatformStatus::Ok) {
         const absl::StatusOr<Manifest> decoded = decodeManifest(answer.value_);
         if (!decoded.ok()) {
             return finish(ApplyOutcome::Damaged, ConfigVersion());
         }
-        present = *decoded;
+        current = *decoded;
     }
-    if (apply.expected_ && *apply.expected_ != present.version_) {
-        return finish(ApplyOutcome::Conflict, present.version_);
+    if (apply.expected_ && *apply.expected_ != current.version_) {
+        return finish(ApplyOutcome::Conflict, current.version_);
     }
-    if (answer.status_ == PlatformStatus::Ok && present.parts_ == referencesOf(apply.parts_)) {
-        return finish(ApplyOutcome::Unchanged, present.version_);
+    if (answer.status_ == PlatformStatus::Ok && current.parts_ == referencesOf(apply.parts_)) {
+        return finish(ApplyOutcome::Unchanged, current.version_);
     }
-    planUpdate(apply, present, answer.status_ == PlatformStatus::Ok ? answer.version_ : ObjectVersion());
-    planComparison(apply, present);
+    planUpdate(apply, current, answer.status_ == PlatformStatus::Ok ? answer.version_ : ObjectVersion());
+    planComparison(apply, current);
     return compareMembers(apply);
 }
 
-ApplyStep takeFormerPart(ConfigurationApply &apply, const PlatformAnswer &answer)
+ApplyStep onCurrentPartRead(ConfigurationApply &apply, const PlatformAnswer &answer)
 {
-    if (isMissing(answer.status_)) {
-        return ++apply.tries_ < maxTries ? readFormerPart(apply) : giveUp(apply);
+    if (callFailed(answer.status_)) {
+        return ++apply.failedAttempts_ < maxAttempts ? readCurrentPart(apply) : giveUp(apply);
     }
     if (answer.status_ != PlatformStatus::Ok) {
         return finish(ApplyOutcome::Damaged, ConfigVersion());
     }
-    apply.former_.push_back({apply.unread_.front().name_, answer.value_});
-    apply.unread_.pop_front();
+    apply.currentParts_.push_back({apply.partsToRead_.front().name_, answer.value_});
+    apply.partsToRead_.pop_front();
     return compareMembers(apply);
 }
 
-ApplyStep takeWrittenPart(ConfigurationApply &apply, const PlatformAnswer &answer)
+ApplyStep onPartWritten(ConfigurationApply &apply, const PlatformAnswer &answer)
 {
     switch (answer.status_) {
     case PlatformStatus::Ok:
-    case PlatformStatus::Conflict: // It is there already: its name is the hash of its content.
-        apply.missing_.pop_front();
+    case PlatformStatus::Conflict: // The part already exists: its name is the hash of its content.
+        apply.partsToWrite_.pop_front();
         return writeNext(apply);
     case PlatformStatus::Lost:
-        return ++apply.tries_ < maxTries ? checkPart(apply) : giveUp(apply);
+        return ++apply.failedAttempts_ < maxAttempts ? checkPart(apply) : giveUp(apply);
     default:
-        return ++apply.tries_ < maxTries ? writePart(apply) : giveUp(apply);
+        return ++apply.failedAttempts_ < maxAttempts ? writePart(apply) : giveUp(apply);
     }
 }
 
-ApplyStep takeCheckedPart(ConfigurationApply &apply, const PlatformAnswer &answer)
+ApplyStep onPartChecked(ConfigurationApply &apply, const PlatformAnswer &answer)
 {
     if (answer.status_ == PlatformStatus::Ok) {
-        apply.missing_.pop_front();
+        apply.partsToWrite_.pop_front();
         return writeNext(apply);
     }
     if (answer.status_ == PlatformStatus::NotFound) {
         return writePart(apply);
     }
-    return ++apply.tries_ < maxTries ? checkPart(apply) : giveUp(apply);
+    return ++apply.failedAttempts_ < maxAttempts ? checkPart(apply) : giveUp(apply);
 }
 
-ApplyStep takeWrittenManifest(ConfigurationApply &apply, const PlatformAnswer &answer)
+ApplyStep onManifestWritten(ConfigurationApply &apply, const PlatformAnswer &answer)
 {
     switch (answer.status_) {
     case PlatformStatus::Ok:
-        return finish(ApplyOutcome::Accepted, apply.next_.version_);
+        return finish(ApplyOutcome::Accepted, apply.newManifest_.version_);
     case PlatformStatus::Unavailable:
-        return ++apply.tries_ < maxTries ? writeManifest(apply) : giveUp(apply);
+        return ++apply.failedAttempts_ < maxAttempts ? writeManifest(apply) : giveUp(apply);
     case PlatformStatus::Lost:
         apply.mayHaveTakenEffect_ = true;
-        ++apply.tries_;
+        ++apply.failedAttempts_;
         return readManifest(apply, Stage::CheckManifest);
     default:
-        // A conflict may be with this very attempt, when an earlier update took effect after its answer was lost.
-        ++apply.tries_;
+        // The conflict may be with this attempt itself: an earlier update may have taken effect after its answer was lost.
+        ++apply.failedAttempts_;
         return readManifest(apply, Stage::CheckManifest);
     }
 }
 
-ApplyStep takeCheckedManifest(ConfigurationApply &apply, const PlatformAnswer &answer)
+ApplyStep onManifestChecked(ConfigurationApply &apply, const PlatformAnswer &answer)
 {
-    if (isMissing(answer.status_)) {
-        return ++apply.tries_ < maxTries ? readManifest(apply, Stage::CheckManifest) : giveUp(apply);
+    if (callFailed(answer.status_)) {
+        return ++apply.failedAttempts_ < maxAttempts ? readManifest(apply, Stage::CheckManifest) : giveUp(apply);
     }
-    const ObjectVersion present = answer.status_ == PlatformStatus::Ok ? answer.version_ : ObjectVersion();
-    if (present == apply.replaces_) {
-        // Not taken effect so far. It may still be under way, yet repeating it is safe: both ask for the same version, so that only one succeeds.
-        return apply.tries_ < maxTries ? writeManifest(apply) : giveUp(apply);
+    const ObjectVersion foundVersion = answer.status_ == PlatformStatus::Ok ? answer.version_ : ObjectVersion();
+    if (foundVersion == apply.replacedVersion_) {
+        // The update has not taken effect yet and may still be in flight. Repeating it is safe: both updates expect the same version, so only one can succeed.
+        return apply.failedAttempts_ < maxAttempts ? writeManifest(apply) : giveUp(apply);
     }
     const absl::StatusOr<Manifest> found = decodeManifest(answer.value_);
     if (!found.ok()) {
@@ -229,7 +229,7 @@
     }
     const auto &earlier = found->earlierAttempts_;
     const bool ours = found->attempt_ == apply.attempt_ || std::ranges::find(earlier, apply.attempt_) != earlier.end();
-    return ours ? finish(ApplyOutcome::Accepted, apply.next_.version_) : finish(ApplyOutcome::Conflict, found->version_);
+    return ours ? finish(ApplyOutcome::Accepted, apply.newManifest_.version_) : finish(ApplyOutcome::Conflict, found->version_);
 }
 
 } // namespace
@@ -250,17 +250,17 @@
     }
     switch (apply.stage_) {
     case Stage::ReadManifest:
-        return takeFirstManifest(apply, *answer);
-    case Stage::ReadFormerPart:
-        return takeFormerPart(apply, *answer);
+        return onManifestRead(apply, *answer);
+    case Stage::ReadCurrentPart:
+        return onCurrentPartRead(apply, *answer);
     case Stage::WritePart:
-        return takeWrittenPart(apply, *answer);
+        return onPartWritten(apply, *answer);
     case Stage::CheckPart:
-        return takeCheckedPart(apply, *answer);
+        return onPartChecked(apply, *answer);
     case Stage::WriteManifest:
-        return takeWrittenManifest(apply, *answer);
+        return onManifestWritten(apply, *answer);
     case Stage::CheckManifest:
-        return takeCheckedManifest(apply, *answer);
+        return onManifestChecked(apply, *answer);
     }
     return giveUp(apply);
 }
--- a/src/ConfigurationApply.h
+++ b/src/ConfigurationApply.h
@@ -1,7 +1,7 @@
 /** \file
- * Defines how an operator's configuration is committed to the platform: missing parts first, then one conditional update of the manifest.
+ * Defines how an operator's configuration is committed to the platform: first the missing parts are written, then the manifest by one conditional update.
  *
- * It does no I/O: the caller makes each platform call that a step asks for and passes its answer to the next step.
+ * This code performs no I/O: the program that uses it makes the platform call returned by each step and passes the answer to the next step.
  */
 #pragma once
 
@@ -16,40 +16,40 @@
 
 namespace Figward {
 
-/** How an apply ended. */
+/** Outcome of an apply. */
 enum class ApplyOutcome {
-    Accepted, ///< The configuration has the version named; a later one may already have replaced it.
-    Unchanged, ///< The version named already has this content; nothing was written.
-    Conflict, ///< Another version than the one expected is accepted; nothing was changed.
-    Unavailable, ///< The platform could not be reached; proved that nothing was changed.
-    Unknown, ///< The answer was lost and could not be found out. Applying again is safe: it is told of a version that it did not expect.
-    UnsafeChange, ///< Some groups would change more than one member at once; nothing was changed. See unsafeMemberChanges().
+    Accepted, ///< The configuration was accepted under the version in the result; a later version may already have replaced it.
+    Unchanged, ///< The version in the result already has this content; nothing was written.
+    Conflict, ///< The accepted version is not the expected one; nothing was changed.
+    Unavailable, ///< The platform was unreachable; it is certain that nothing was changed.
+    Unknown, ///< The answer was lost and the outcome is not known. It is safe to apply again: an unexpected version is reported as Conflict.
+    UnsafeChange, ///< Some groups would change more than one member in one step; nothing was changed. See unsafeMemberChanges().
     Damaged, ///< The platform holds a manifest that cannot be read.
 };
 
-/** The end of an apply. */
+/** Result of an apply. */
 struct ApplyResult
 {
     ApplyOutcome outcome_ = ApplyOutcome::Unknown;
-    ConfigVersion version_; ///< The version accepted; for Conflict, the other one.
-    std::vector<GroupId> groups_; ///< For UnsafeChange: the groups.
+    ConfigVersion version_; ///< The accepted version; for Conflict, the version found instead of the expected one.
+    std::vector<GroupId> groups_; ///< For UnsafeChange: the groups whose change is unsafe.
 };
 
-/** What is to be done next: one of the two. */
+/** The next action: either a platform call or the result. */
 struct ApplyStep
 {
     std::optional<PlatformCall> call_;
-    Duration delay_{}; ///< To wait before the call.
+    Duration delay_{}; ///< Delay before the call.
     std::optional<ApplyResult> result_;
 };
 
-/** An apply under way. */
+/** State of an apply in progress. */
 struct ConfigurationApply
 {
-    /** What the last call was for. */
+    /** Purpose of the last call. */
     enum class Stage {
         ReadManifest,
-        ReadFormerPart,
+        ReadCurrentPart,
         WritePart,
         CheckPart,
         WriteManifest,
@@ -57,22 +57,22 @@
     };
 
     std::vector<ConfigurationPart> parts_;
-    std::optional<ConfigVersion> expected_; ///< The version that the operator edited, if it was named.
+    std::optional<ConfigVersion> expected_; ///< The version that the operator edited, if specified.
     AttemptId attempt_;
     Stage stage_ = Stage::ReadManifest;
-    std::deque<ManifestPart> unread_; ///< Parts of the present configuration still to be read, to compare members; the first one is under way.
-    std::vector<ConfigurationPart> former_; ///< The present configuration, as far as it is known.
-    std::deque<ConfigurationPart> missing_; ///< Still to be written; the first one is under way.
-    Manifest next_; ///< What is written, once the present manifest is known.
-    ObjectVersion replaces_; ///< Version of the manifest's object that next_ replaces.
-    unsigned tries_ = 0; ///< Of the present stage.
-    bool mayHaveTakenEffect_ = false; ///< An update of the manifest was sent and its answer lost.
+    std::deque<ManifestPart> partsToRead_; ///< Parts of the current configuration still to be read for the comparison of members; the first is being read.
+    std::vector<ConfigurationPart> currentParts_; ///< Parts of the current configuration known so far.
+    std::deque<ConfigurationPart> partsToWrite_; ///< Parts still to be written; the first is being written.
+    Manifest newManifest_; ///< The manifest to write; set once the current manifest is known.
+    ObjectVersion replacedVersion_; ///< Version of the manifest's object that newManifest_ replaces.
+    unsigned failedAttempts_ = 0; ///< Failed calls in the current stage.
+    bool mayHaveTakenEffect_ = false; ///< Whether an update of the manifest was sent and its answer lost.
     std::uint64_t nextCall_ = 1;
 };
 
-/** Begins to apply \p text, which checkConfiguration() has accepted. \p attempt must be random: it is how a lost answer is resolved. */
+/** Starts to apply \p text, which checkConfiguration() must have accepted. \p attempt must be random: it identifies this apply after a lost answer. */
 ConfigurationApply startApply(std::string_view text, std::optional<ConfigVersion> expected, AttemptId attempt);
-/** The next step after \p answer; none for the first step. */
+/** Returns the next step. \p answer is the answer to the call of the previous step; empty for the first step. */
 ApplyStep stepApply(ConfigurationApply &apply, const std::optional<PlatformAnswer> &answer);
 
 } // namespace Figward
--- a/src/ConfigurationFetching.cpp
+++ b/src/ConfigurationFetching.cpp
@@ -11,16 +11,16 @@
 namespace {
 
 constexpr Duration fetchTimeout = std::chrono::seconds(1);
-constexpr Duration firstPatience = std::chrono::milliseconds(250);
-constexpr Duration longestPatience = std::chrono::seconds(4);
-constexpr unsigned maxTries = 16;
-constexpr unsigned platformEvery = 3; // Each third try goes to the platform: peers come first, and the platform may be away.
+constexpr Duration minAttemptTimeout = std::chrono::milliseconds(250);
+constexpr Duration maxAttemptTimeout = std::chrono::seconds(4);
+constexpr unsigned maxFailedAttempts = 16;
+constexpr unsigned platformAttemptInterval = 3; // Every third attempt goes to the platform. Peers come first, as the platform may be unavailable.
 constexpr std::size_t maxAlternatives = 4;
-constexpr std::size_t partsAtOnce = 32; // A proxy that starts needs all parts; it takes them in portions that fit one message.
-constexpr std::size_t keptManifests = 8;
-constexpr std::size_t shownProblems = 3;
+constexpr std::size_t maxPartsPerRequest = 32; // A starting proxy needs all parts; it requests them in batches that fit into one message.
+constexpr std::size_t maxPreviousManifests = 8;
+constexpr std::size_t maxReportedProblems = 3;
 
-void askForManifest(ProxyState &state, const ConfigurationFetch &fetch, Effects &out)
+void requestManifest(ProxyState &state, const ConfigurationFetch &fetch, Effects &out)
 {
     if (fetch.source_) {
         sendPeer(state, *fetch.source_, ManifestRequest{}, out);
@@ -29,11 +29,11 @@
     callPlatform(state, PlatformUser::ConfigurationPart, GetObject{manifestPath()}, fetchTimeout, out, {}, {});
 }
 
-void askForParts(ProxyState &state, const ConfigurationFetch &fetch, Effects &out)
+void requestParts(ProxyState &state, const ConfigurationFetch &fetch, Effects &out)
 {
     std::vector<std::string> hashes;
     for (const std::string &hash : fetch.missing_) {
-        if (hashes.size() == partsAtOnce) {
+        if (hashes.size() == maxPartsPerRequest) {
             break;
         }
         hashes.push_back(hash);
@@ -47,29 +47,29 @@
     }
 }
 
-void ask(ProxyState &state, Time now, Effects &out)
+void startAttempt(ProxyState &state, Time now, Effects &out)
 {
     ConfigurationFetch &fetch = *state.sync_.fetch_;
-    fetch.key_ = takeId(state);
-    fetch.askedAt_ = now;
-    const Duration patience = std::min(longestPatience, firstPatience * (1U << std::min(fetch.tries_, 4U)));
-    state.timers_.arm(now + jittered(state, patience), {TimerTopic::Configuration, {}, fetch.key_});
+    fetch.attemptKey_ = takeId(state);
+    fetch.attemptStartedAt_ = now;
+    const Duration timeout = std::min(maxAttemptTimeout, minAttemptTimeout * (1U << std::min(fetch.failedAttempts_, 4U)));
+    state.timers_.arm(now + jittered(state, timeout), {TimerTopic::Configuration, {}, fetch.attemptKey_});
     if (fetch.manifest_) {
-        askForParts(state, fetch, out);
+        requestParts(state, fetch, out);
     } else {
-        askForManifest(state, fetch, out);
+        requestManifest(state, fetch, out);
     }
 }
 
-void chooseOtherSource(ProxyState &state, ConfigurationFetch &fetch)
+void chooseNextSource(ProxyState &state, ConfigurationFetch &fetch)
 {
-    if (fetch.tries_ % platformEvery == 0) {
+    if (fetch.failedAttempts_ % platformAttemptInterval == 0) {
         fetch.source_.reset();
         return;
     }
-    if (!fetch.others_.empty()) {
-        fetch.source_ = fetch.others_.back();
-        fetch.others_.pop_back();
+    if (!fetch.alternatives_.empty()) {
+        fetch.source_ = fetch.alternatives_.back();
+        fetch.alternatives_.pop_back();
         return;
     }
     const std::vector<VmInfo> targets = gossipTargets(state, 2);
@@ -78,46 +78,46 @@
 
 const std::string *findText(const ConfigurationSyncState &sync, const std::string &hash)
 {
-    const auto inForce = sync.parts_.find(hash);
-    if (inForce != sync.parts_.end()) {
-        return &inForce->second;
+    const auto active = sync.parts_.find(hash);
+    if (active != sync.parts_.end()) {
+        return &active->second;
     }
     const auto fetched = sync.fetch_->parts_.find(hash);
     return fetched == sync.fetch_->parts_.end() ? nullptr : &fetched->second;
 }
 
-/** The first few problems: enough to see what is wrong, short enough for a log line and the status. */
+/** Returns the first few problems as text that is short enough for a log line and the status report. */
 std::string describe(const std::vector<TextProblem> &problems)
 {
     std::string text;
-    for (std::size_t i = 0; i < std::min(problems.size(), shownProblems); ++i) {
+    for (std::size_t i = 0; i < std::min(problems.size(), maxReportedProblems); ++i) {
         text += (i == 0 ? "" : "; ") + problems[i].pointer_ + ": " + problems[i].detail_;
     }
     return text;
 }
 
-/** The configuration is refused as a whole: half of a configuration would be one that no operator wrote. */
+/** Refuses the configuration as a whole: applying only part of it would activate a configuration that no operator wrote. */
 void refuseConfiguration(ProxyState &state, ConfigVersion version, std::string reason, Effects &out)
 {
-    state.sync_.refused_ = version;
+    state.sync_.refusedVersion_ = version;
     state.sync_.refusal_ = std::move(reason);
     state.sync_.fetch_.reset();
     out.push_back(WriteLog{LogNumber::ConfigurationRefused, {{"version", std::to_string(version.value())}, {"reason", state.sync_.refusal_}}});
 }
 
-void keepManifest(ConfigurationSyncState &sync, Manifest manifest, std::map<std::string, std::string> parts)
+void storeManifest(ConfigurationSyncState &sync, Manifest manifest, std::map<std::string, std::string> parts)
 {
     if (sync.manifest_.version_ != ConfigVersion()) {
-        sync.earlier_.push_front(std::move(sync.manifest_));
-        sync.earlier_.resize(std::min(sync.earlier_.size(), keptManifests));
+        sync.previousManifests_.push_front(std::move(sync.manifest_));
+        sync.previousManifests_.resize(std::min(sync.previousManifests_.size(), maxPreviousManifests));
     }
     sync.manifest_ = std::move(manifest);
     sync.parts_ = std::move(parts);
     sync.fetch_.reset();
 }
 
-/** All parts are here: checks the whole and takes it into force. */
-void takeIntoForce(ProxyState &state, Time now, Effects &out)
+/** Checks and activates the fetched version; all its parts must be available. */
+void activateFetched(ProxyState &state, Time now, Effects &out)
 {
     const Manifest manifest = *state.sync_.fetch_->manifest_;
     std::vector<ConfigurationPart> parts;
@@ -133,43 +133,43 @@
         return;
     }
     checked.configuration_->version_ = manifest.version_;
-    keepManifest(state.sync_, manifest, std::move(texts));
+    storeManifest(state.sync_, manifest, std::move(texts));
     adoptConfiguration(state, std::move(*checked.configuration_), now, out);
 }
 
-void noteAlternative(ConfigurationFetch &fetch, const std::optional<VmInfo> &source)
+void addAlternative(ConfigurationFetch &fetch, const std::optional<VmInfo> &source)
 {
-    if (!source || fetch.others_.size() >= maxAlternatives) {
+    if (!source || fetch.alternatives_.size() >= maxAlternatives) {
         return;
     }
-    const bool known = std::ranges::find(fetch.others_, source->id_, &VmInfo::id_) != fetch.others_.end();
+    const bool known = std::ranges::find(fetch.alternatives_, source->id_, &VmInfo::id_) != fetch.alternatives_.end();
     const bool asked = fetch.source_ && fetch.source_->id_ == source->id_;
     if (!known && !asked) {
-        fetch.others_.push_back(*source);
+        fetch.alternatives_.push_back(*source);
     }
 }
 
 /**
- * A fetch that was left without answers pauses between its tries, seconds in the end. A peer that is heard to have the version can be reached: it is asked at
- * once, or a zone that was cut off would come to the version seconds after the cut has healed.
+ * Retries an unanswered fetch at once when a peer reports the version. Such a fetch waits longer and longer between attempts, in the end several seconds, but
+ * a peer that has just sent a message is reachable. Without this, a zone that was cut off would get the version only seconds after connectivity returns.
  */
-void hurryFetch(ProxyState &state, ConfigVersion version, const std::optional<VmInfo> &source, Time now, Effects &out)
+void retryWithReachablePeer(ProxyState &state, ConfigVersion version, const std::optional<VmInfo> &source, Time now, Effects &out)
 {
     ConfigurationFetch &fetch = *state.sync_.fetch_;
-    const bool struggling = fetch.tries_ > 0 && now >= fetch.askedAt_ + firstPatience;
-    if (struggling && source && version == fetch.version_) {
+    const bool unanswered = fetch.failedAttempts_ > 0 && now >= fetch.attemptStartedAt_ + minAttemptTimeout;
+    if (unanswered && source && version == fetch.version_) {
         fetch.source_ = source;
-        ask(state, now, out);
+        startAttempt(state, now, out);
     }
 }
 
-bool isNews(const ProxyState &state, ConfigVersion version)
+bool isNewer(const ProxyState &state, ConfigVersion version)
 {
-    return version > state.configuration_.version_ && version > state.sync_.refused_;
+    return version > state.configuration_.version_ && version > state.sync_.refusedVersion_;
 }
 
-/** The present fetch, or a new one that keeps the parts fetched for an earlier version. */
-ConfigurationFetch &fetchFor(ConfigurationSyncState &sync, ConfigVersion version, const std::optional<VmInfo> &source)
+/** Returns the current fetch, or starts a new one that keeps the parts already fetched for an earlier version. */
+ConfigurationFetch &ensureFetch(ConfigurationSyncState &sync, ConfigVersion version, const std::optional<VmInfo> &source)
 {
     if (!sync.fetch_ || sync.fetch_->version_ < version) {
         std::map<std::string, std::string> parts;
@@ -183,29 +183,29 @@
 
 } // namespace
 
-void learnVersion(ProxyState &state, ConfigVersion version, const std::optional<VmInfo> &source, Time now, Effects &out)
+void fetchIfNewer(ProxyState &state, ConfigVersion version, const std::optional<VmInfo> &source, Time now, Effects &out)
 {
-    if (!isNews(state, version)) {
+    if (!isNewer(state, version)) {
         return;
     }
     if (state.sync_.fetch_ && state.sync_.fetch_->version_ >= version) {
-        noteAlternative(*state.sync_.fetch_, source);
-        hurryFetch(state, version, source, now, out);
+        addAlternative(*state.sync_.fetch_, source);
+        retryWithReachablePeer(state, version, source, now, out);
         return;
     }
-    fetchFor(state.sync_, version, source);
-    ask(state, now, out);
+    ensureFetch(state.sync_, version, source);
+    startAttempt(state, now, out);
 }
 
-void takeManifest(ProxyState &state, const Manifest &manifest, const std::optional<VmInfo> &source, Time now, Effects &out)
+void onManifestFetched(ProxyState &state, const Manifest &manifest, const std::optional<VmInfo> &source, Time now, Effects &out)
 {
-    const bool older = state.sync_.fetch_ && manifest.version_ < state.sync_.fetch_->version_;
-    if (!isNews(state, manifest.version_) || older) {
+    const bool outdated = state.sync_.fetch_ && manifest.version_ < state.sync_.fetch_->version_;
+    if (!isNewer(state, manifest.version_) || outdated) {
         return;
     }
-    ConfigurationFetch &fetch = fetchFor(state.sync_, manifest.version_, source);
+    ConfigurationFetch &fetch = ensureFetch(state.sync_, manifest.version_, source);
     if (fetch.manifest_) {
-        noteAlternative(fetch, source);
+        addAlternative(fetch, source);
         return;
     }
     fetch.source_ = source;
@@ -216,14 +216,14 @@
         }
     }
     if (fetch.missing_.empty()) {
-        takeIntoForce(state, now, out);
+        activateFetched(state, now, out);
         return;
     }
-    fetch.tries_ = 0;
-    ask(state, now, out);
+    fetch.failedAttempts_ = 0;
+    startAttempt(state, now, out);
 }
 
-bool takePart(ProxyState &state, const std::string &text, Time now, Effects &out)
+bool onPartFetched(ProxyState &state, const std::string &text, Time now, Effects &out)
 {
     if (!state.sync_.fetch_) {
         return false;
@@ -234,9 +234,9 @@
         return false;
     }
     fetch.parts_.emplace(std::move(hash), text);
-    fetch.tries_ = 0;
+    fetch.failedAttempts_ = 0;
     if (fetch.missing_.empty()) {
-        takeIntoForce(state, now, out);
+        activateFetched(state, now, out);
     }
     return true;
 }
@@ -244,23 +244,23 @@
 void continueFetch(ProxyState &state, Time now, Effects &out)
 {
     if (state.sync_.fetch_ && state.sync_.fetch_->manifest_) {
-        ask(state, now, out);
+        startAttempt(state, now, out);
     }
 }
 
 void retryFetch(ProxyState &state, std::uint64_t key, Time now, Effects &out)
 {
-    if (!state.sync_.fetch_ || state.sync_.fetch_->key_ != key) {
+    if (!state.sync_.fetch_ || state.sync_.fetch_->attemptKey_ != key) {
         return;
     }
     ConfigurationFetch &fetch = *state.sync_.fetch_;
-    if (++fetch.tries_ > maxTries) {
-        // Whoever has the version names it again in its next message.
+    if (++fetch.failedAttempts_ > maxFailedAttempts) {
+        // A peer that has the version will report it again in its next message.
         state.sync_.fetch_.reset();
         return;
     }
-    chooseOtherSource(state, fetch);
-    ask(state, now, out);
+    chooseNextSource(state, fetch);
+    startAttempt(state, now, out);
 }
 
 } // namespace Figward
--- a/src/ConfigurationFetching.h
+++ b/src/ConfigurationFetching.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines the fetching of one version of the configuration: manifest first, then the parts that are lacking, from one source after another.
+ * Defines how one version of the configuration is fetched: first the manifest, then the missing parts. If a source does not answer, another one is used.
  */
 #pragma once
 
@@ -14,15 +14,15 @@
 
 struct ProxyState;
 
-/** Begins to fetch \p version from \p source (the platform if none), unless it is known, refused or being fetched. */
-void learnVersion(ProxyState &state, ConfigVersion version, const std::optional<VmInfo> &source, Time now, Effects &out);
-/** A manifest has arrived from \p source: fetches the parts that it names and that are lacking, or takes it into force. */
-void takeManifest(ProxyState &state, const Manifest &manifest, const std::optional<VmInfo> &source, Time now, Effects &out);
-/** Text of a part has arrived; it counts if its hash is one that is lacking. Returns whether it did. */
-bool takePart(ProxyState &state, const std::string &text, Time now, Effects &out);
-/** A portion of the parts has arrived: asks the same source for the next one. */
+/** Starts to fetch \p version from \p source (the platform if empty), unless it is known, refused or already being fetched. */
+void fetchIfNewer(ProxyState &state, ConfigVersion version, const std::optional<VmInfo> &source, Time now, Effects &out);
+/** Handles a manifest received from \p source: fetches the parts that are missing, or activates the version if none is. */
+void onManifestFetched(ProxyState &state, const Manifest &manifest, const std::optional<VmInfo> &source, Time now, Effects &out);
+/** Handles the received text of a part. Returns whether its hash is that of a missing part; otherwise the text is ignored. */
+bool onPartFetched(ProxyState &state, const std::string &text, Time now, Effects &out);
+/** Requests the next batch of parts from the same source after a batch has arrived. */
 void continueFetch(ProxyState &state, Time now, Effects &out);
-/** The try \p key has taken too long: asks elsewhere. */
+/** Handles the timeout of attempt \p key: retries with another source. */
 void retryFetch(ProxyState &state, std::uint64_t key, Time now, Effects &out);
 
 } // namespace Figward
--- a/src/ConfigurationSync.cpp
+++ b/src/ConfigurationSync.cpp
@@ -12,15 +12,15 @@
 
 namespace {
 
-constexpr std::uint64_t reviewKey = 0; // Ids of fetches are never zero.
+constexpr std::uint64_t reviewKey = 0; // The keys of fetch attempts are never zero.
 constexpr Duration reviewInterval = std::chrono::seconds(1);
-constexpr Duration watchTimeout = std::chrono::minutes(1); // A watch that ends without news brings the whole manifest: 45 KB at 690 services.
+constexpr Duration watchTimeout = std::chrono::minutes(1); // A watch that ends without a change returns the whole manifest: 45 KB at 690 services.
 constexpr Duration firstReadTimeout = std::chrono::seconds(2);
-constexpr Duration firstPause = std::chrono::milliseconds(500);
-constexpr Duration longestPause = std::chrono::seconds(8);
-constexpr Duration silence = std::chrono::seconds(10); // Without a word from any peer for so long, the platform is asked.
+constexpr Duration minWatchDelay = std::chrono::milliseconds(500);
+constexpr Duration maxWatchDelay = std::chrono::seconds(8);
+constexpr Duration peerSilenceLimit = std::chrono::seconds(10); // If no peer has sent a message for this long, the manifest is read from the platform.
 
-/** The VMs of this zone that watch the manifest, chosen like the owners of a group. */
+/** Whether this VM is one of those in its zone that watch the manifest. They are chosen by rendezvous hashing, like the owners of a group. */
 bool isWatcher(const ProxyState &state)
 {
     const VmInfo &self = state.identity_.self_;
@@ -34,7 +34,7 @@
 void watch(ProxyState &state, Effects &out)
 {
     state.sync_.watching_ = true;
-    callPlatform(state, PlatformUser::ConfigurationWatch, WatchObject{manifestPath(), state.sync_.watched_}, watchTimeout, out);
+    callPlatform(state, PlatformUser::ConfigurationWatch, WatchObject{manifestPath(), state.sync_.watchedVersion_}, watchTimeout, out);
 }
 
 void readOnce(ProxyState &state, Effects &out)
@@ -46,22 +46,22 @@
 void reviewWatch(ProxyState &state, Time now, Effects &out)
 {
     ConfigurationSyncState &sync = state.sync_;
-    if (sync.watching_ || now < sync.watchAgainAt_) {
+    if (sync.watching_ || now < sync.nextWatchAt_) {
         return;
     }
-    const bool cutOff = now - state.membership_.heardAt_ > silence;
+    const bool cutOff = now - state.membership_.lastPeerMessageAt_ > peerSilenceLimit;
     if (isWatcher(state)) {
         watch(state, out);
     } else if (cutOff) {
-        sync.watchAgainAt_ = now + jittered(state, silence);
+        sync.nextWatchAt_ = now + jittered(state, peerSilenceLimit);
         readOnce(state, out);
     }
 }
 
-/** Takes in the manifest as the platform has it now, if it is there. */
-void takeWatched(ProxyState &state, const PlatformAnswer &answer, Time now, Effects &out)
+/** Handles the manifest in an answer of the platform, if the answer contains a new one. */
+void onWatchedManifest(ProxyState &state, const PlatformAnswer &answer, Time now, Effects &out)
 {
-    if (answer.status_ != PlatformStatus::Ok || answer.version_ <= state.sync_.watched_) {
+    if (answer.status_ != PlatformStatus::Ok || answer.version_ <= state.sync_.watchedVersion_) {
         return;
     }
     const absl::StatusOr<Manifest> manifest = decodeManifest(answer.value_);
@@ -69,37 +69,37 @@
         out.push_back(WriteLog{LogNumber::ConfigurationRefused, {{"reason", std::string(manifest.status().message())}}});
         return;
     }
-    state.sync_.watched_ = answer.version_;
-    takeManifest(state, *manifest, std::nullopt, now, out);
+    state.sync_.watchedVersion_ = answer.version_;
+    onManifestFetched(state, *manifest, std::nullopt, now, out);
 }
 
 void onWatchAnswer(ProxyState &state, const PlatformAnswer &answer, Time now, Effects &out)
 {
     ConfigurationSyncState &sync = state.sync_;
     sync.watching_ = false;
-    const bool news = answer.status_ == PlatformStatus::Ok && answer.version_ > sync.watched_;
-    takeWatched(state, answer, now, out);
-    if (news) {
+    const bool changed = answer.status_ == PlatformStatus::Ok && answer.version_ > sync.watchedVersion_;
+    onWatchedManifest(state, answer, now, out);
+    if (changed) {
         sync.watchFailures_ = 0;
         reviewWatch(state, now, out);
         return;
     }
-    // Also an answer without news is no reason to ask at once: a store that ends watches early would be called without pause.
+    // Even after a successful answer without a change the next watch is delayed: otherwise a platform that ends watches early would be called continuously.
     const bool failed = answer.status_ != PlatformStatus::Ok;
     sync.watchFailures_ = failed ? sync.watchFailures_ + 1 : 0;
-    const Duration pause = std::min(longestPause, firstPause * (1U << std::min(sync.watchFailures_, 4U)));
-    sync.watchAgainAt_ = now + jittered(state, pause);
+    const Duration delay = std::min(maxWatchDelay, minWatchDelay * (1U << std::min(sync.watchFailures_, 4U)));
+    sync.nextWatchAt_ = now + jittered(state, delay);
 }
 
 void onPartAnswer(ProxyState &state, const OutstandingCall &call, const PlatformAnswer &answer, Time now, Effects &out)
 {
     if (answer.status_ != PlatformStatus::Ok) {
-        return; // The fetch's own timer asks elsewhere.
+        return; // The timer of the fetch retries with another source.
     }
     const bool isManifest = call.detail_.empty();
     if (!isManifest) {
-        const bool progress = takePart(state, answer.value_, now, out);
-        const auto isFetch = [](const auto &entry) { return entry.second.user_ == PlatformUser::ConfigurationPart; };
+        const bool progress = onPartFetched(state, answer.value_, now, out);
+        const auto isFetch = [](const auto &entry) { return entry.second.requester_ == PlatformUser::ConfigurationPart; };
         if (progress && std::ranges::none_of(state.platform_.outstanding_, isFetch)) {
             continueFetch(state, now, out);
         }
@@ -107,7 +107,7 @@
     }
     const absl::StatusOr<Manifest> manifest = decodeManifest(answer.value_);
     if (manifest.ok()) {
-        takeManifest(state, *manifest, std::nullopt, now, out);
+        onManifestFetched(state, *manifest, std::nullopt, now, out);
     }
 }
 
@@ -116,21 +116,21 @@
     return {.id_ = message.from_, .address_ = message.fromAddress_};
 }
 
-/** The manifest of one of the versions kept here, or an empty one. */
-Manifest keptManifest(const ConfigurationSyncState &sync, ConfigVersion version)
+/** Returns the manifest of \p version if it is the active or a stored previous one, and an empty one otherwise. */
+Manifest knownManifest(const ConfigurationSyncState &sync, ConfigVersion version)
 {
     if (sync.manifest_.version_ == version) {
         return sync.manifest_;
     }
-    const auto kept = std::ranges::find(sync.earlier_, version, &Manifest::version_);
-    return kept == sync.earlier_.end() ? Manifest() : *kept;
+    const auto previous = std::ranges::find(sync.previousManifests_, version, &Manifest::version_);
+    return previous == sync.previousManifests_.end() ? Manifest() : *previous;
 }
 
 } // namespace
 
 void startConfigurationSync(ProxyState &state, Time now, Effects &out)
 {
-    state.membership_.heardAt_ = now;
+    state.membership_.lastPeerMessageAt_ = now;
     readOnce(state, out);
     state.timers_.arm(now + jittered(state, reviewInterval), {TimerTopic::Configuration, {}, reviewKey});
 }
@@ -147,7 +147,7 @@
 
 void onConfigurationAnswer(ProxyState &state, const OutstandingCall &call, const PlatformAnswer &answer, Time now, Effects &out)
 {
-    if (call.user_ == PlatformUser::ConfigurationWatch) {
+    if (call.requester_ == PlatformUser::ConfigurationWatch) {
         onWatchAnswer(state, answer, now, out);
     } else {
         onPartAnswer(state, call, answer, now, out);
@@ -156,8 +156,8 @@
 
 void onPeerVersion(ProxyState &state, const PeerMessage &message, Time now, Effects &out)
 {
-    state.membership_.heardAt_ = now;
-    learnVersion(state, message.configVersion_, senderOf(message), now, out);
+    state.membership_.lastPeerMessageAt_ = now;
+    fetchIfNewer(state, message.configVersion_, senderOf(message), now, out);
 }
 
 void onManifestRequest(ProxyState &state, const PeerMessage &message, Time /*now*/, Effects &out)
@@ -166,7 +166,7 @@
     if (manifest.version_ <= message.configVersion_) {
         return;
     }
-    const Manifest base = keptManifest(state.sync_, message.configVersion_);
+    const Manifest base = knownManifest(state.sync_, message.configVersion_);
     const bool known = base.version_ != ConfigVersion();
     sendPeer(state, senderOf(message), ManifestNews{manifest.version_, known ? encodeManifestSince(manifest, base) : encodeManifest(manifest)}, out);
 }
@@ -175,7 +175,7 @@
 {
     const absl::StatusOr<Manifest> manifest = decodeManifest(news.manifest_, state.sync_.manifest_);
     if (manifest.ok() && manifest->version_ == news.version_) {
-        takeManifest(state, *manifest, senderOf(message), now, out);
+        onManifestFetched(state, *manifest, senderOf(message), now, out);
     }
 }
 
@@ -197,7 +197,7 @@
 {
     bool progress = false;
     for (const std::string &text : news.parts_) {
-        progress = takePart(state, text, now, out) || progress;
+        progress = onPartFetched(state, text, now, out) || progress;
     }
     if (progress) {
         continueFetch(state, now, out);
@@ -215,7 +215,7 @@
     state.configuration_ = std::move(configuration);
     out.push_back(WriteLog{LogNumber::ConfigurationInForce, {{"version", std::to_string(state.configuration_.version_.value())}}});
     refreshOwnership(state, now, out);
-    spreadNews(state, ownHeartbeat(state), out);
+    gossipUpdate(state, makeHeartbeat(state), out);
 }
 
 } // namespace Figward
--- a/src/ConfigurationSync.h
+++ b/src/ConfigurationSync.h
@@ -1,8 +1,8 @@
 /** \file
- * Defines how an accepted configuration reaches every proxy, and never goes back.
+ * Defines how an accepted configuration reaches every proxy. A proxy never returns to a lower version.
  *
- * A few VMs a zone watch the manifest on the platform. All others learn of a version by the number that rides on every message between proxies, and fetch
- * the manifest and the parts that they lack from the proxy that they heard it from. The platform is asked when peers do not help.
+ * A few VMs in each zone watch the manifest on the platform. All others learn of a new version from the version number in every message between proxies, and
+ * fetch the manifest and the missing parts from the proxy that sent the message. If peers do not answer, they are fetched from the platform.
  */
 #pragma once
 
@@ -25,48 +25,49 @@
 struct ProxyState;
 struct OutstandingCall;
 
-/** A configuration that is being fetched. */
+/** State of fetching one version of the configuration. */
 struct ConfigurationFetch
 {
-    ConfigVersion version_; ///< The one heard of; what arrives may be later.
-    std::optional<VmInfo> source_; ///< The peer that is asked, or the platform.
-    std::vector<VmInfo> others_; ///< Peers that also have it.
+    ConfigVersion version_; ///< The reported version; the one received may be later.
+    std::optional<VmInfo> source_; ///< The peer to fetch from; empty for the platform.
+    std::vector<VmInfo> alternatives_; ///< Other peers that reported the version.
     std::optional<Manifest> manifest_;
-    std::map<std::string, std::string> parts_; ///< Fetched so far, by hash.
-    std::set<std::string> missing_; ///< Hashes to be fetched, once the manifest is known.
-    unsigned tries_ = 0; ///< Without progress.
-    std::uint64_t key_ = 0; ///< Of the present try, for its timer.
-    Time askedAt_; ///< When the present try began.
+    std::map<std::string, std::string> parts_; ///< Parts fetched so far, by hash.
+    std::set<std::string> missing_; ///< Hashes of the parts still to be fetched; set once the manifest is known.
+    unsigned failedAttempts_ = 0; ///< Consecutive attempts without progress.
+    std::uint64_t attemptKey_ = 0; ///< Timer key of the current attempt.
+    Time attemptStartedAt_;
 };
 
-/** What this proxy has of the configuration. */
+/** State of the configuration at this proxy. */
 struct ConfigurationSyncState
 {
-    Manifest manifest_; ///< Of the version in force; its version is zero before the first.
-    std::deque<Manifest> earlier_; ///< Of the versions in force before, newest first: peers that have one are told only what changed.
-    std::map<std::string, std::string> parts_; ///< Texts of the parts in force, by hash.
+    Manifest manifest_; ///< Manifest of the active version; its version is zero until the first one is active.
+    std::deque<Manifest>
+        previousManifests_; ///< Manifests of previously active versions, newest first. A peer that has one of them is sent only the changes since.
+    std::map<std::string, std::string> parts_; ///< Texts of the active parts, by hash.
     std::optional<ConfigurationFetch> fetch_;
-    ConfigVersion refused_; ///< The highest version that cannot be used here.
-    std::string refusal_; ///< Why.
-    bool watching_ = false; ///< A watch, or the first read, is under way.
-    unsigned watchFailures_ = 0; ///< In a row.
-    ObjectVersion watched_; ///< Version of the manifest's object that was seen last.
-    Time watchAgainAt_;
+    ConfigVersion refusedVersion_; ///< The highest version that this proxy cannot use.
+    std::string refusal_; ///< Why refusedVersion_ was refused.
+    bool watching_ = false; ///< Whether a watch or a read of the manifest is pending.
+    unsigned watchFailures_ = 0; ///< Consecutive failures.
+    ObjectVersion watchedVersion_; ///< Last received version of the manifest's object.
+    Time nextWatchAt_;
 };
 
-/** Begins to look for the configuration. */
+/** Reads the manifest from the platform and starts the periodic check of the watch. */
 void startConfigurationSync(ProxyState &state, Time now, Effects &out);
-/** Subscriber of Configuration. */
+/** Handles timers of TimerTopic::Configuration. */
 void onConfigurationTimer(ProxyState &state, const TimerTag &tag, Time now, Effects &out);
-/** The platform answered a call of ConfigurationWatch or ConfigurationPart. */
+/** Handles the platform's answer to a call of ConfigurationWatch or ConfigurationPart. */
 void onConfigurationAnswer(ProxyState &state, const OutstandingCall &call, const PlatformAnswer &answer, Time now, Effects &out);
-/** Every message between proxies names the version in force at its sender. */
+/** Handles the version active at the sender, which every message between proxies carries. */
 void onPeerVersion(ProxyState &state, const PeerMessage &message, Time now, Effects &out);
 void onManifestRequest(ProxyState &state, const PeerMessage &message, Time now, Effects &out);
 void onManifestNews(ProxyState &state, const PeerMessage &message, const ManifestNews &news, Time now, Effects &out);
 void onPartsRequest(ProxyState &state, const PeerMessage &message, const PartsRequest &request, Time now, Effects &out);
 void onPartsNews(ProxyState &state, const PeerMessage &message, const PartsNews &news, Time now, Effects &out);
-/** Takes \p configuration into force if its version is higher than the present one. */
+/** Activates \p configuration if its version is higher than the active one. */
 void adoptConfiguration(ProxyState &state, Configuration configuration, Time now, Effects &out);
 
 } // namespace Figward
--- a/src/Drain.cpp
+++ b/src/Drain.cpp
@@ -11,35 +11,35 @@
 
 namespace {
 
-constexpr std::uint64_t cutKey = 0;
+constexpr std::uint64_t timeoutKey = 0;
 constexpr std::uint64_t lingerKey = 1;
-// Requests that were forwarded here before the others heard of the drain still get their refusal, which sends them on. A process that were gone by then would
-// leave them unanswered: their callers would wait, and could not be told that nothing ran.
+// Time for which the process stays to refuse requests that entries forwarded to it before they learned of the drain; a refusal makes the entry try another
+// owner. If the process had exited already, such requests would stay unanswered: their callers would wait and could not be told that nothing ran.
 constexpr Duration linger = std::chrono::seconds(1);
 
-bool ownsWork(const ProxyState &state)
+bool hasOwnedWork(const ProxyState &state)
 {
     const auto busy = [](const auto &entry) { return !entry.second.requests_.byTicket_.empty() || !entry.second.requests_.transactions_.empty(); };
     return std::ranges::any_of(state.owners_, busy);
 }
 
-/** Gives unused terms of each owned group to the first owner that stays, so that it can replace a primary without asking the platform. */
+/** Hands the unused terms of each owned group to the first remaining owner, so that it can replace a primary without a call to the platform. */
 void handOverTerms(ProxyState &state, Effects &out)
 {
     for (auto &[group, owner] : state.owners_) {
-        const std::vector<VmInfo> heirs = ownersOf(state, group);
-        if (heirs.empty()) {
+        const std::vector<VmInfo> remainingOwners = ownersOf(state, group);
+        if (remainingOwners.empty()) {
             continue;
         }
         for (const TermBlock &block : owner.failover_.blocks_) {
-            sendPeer(state, heirs.front(), TermHandover{group, block.first_, block.last_}, out);
+            sendPeer(state, remainingOwners.front(), TermHandover{group, block.first_, block.last_}, out);
         }
         owner.failover_.blocks_.clear();
     }
 }
 
-/** Rolls back the transactions that are open between two steps; a step under way is answered first. */
-void cutOwnedTransactions(ProxyState &state, GroupOwner &owner, Effects &out)
+/** Rolls back the owner's open transactions that have no step in progress; a step in progress is answered first. */
+void rollBackOwnedTransactions(ProxyState &state, GroupOwner &owner, Effects &out)
 {
     std::vector<TransactionKey> open;
     for (const auto &[key, transaction] : owner.requests_.transactions_) {
@@ -52,7 +52,7 @@
     }
 }
 
-void cutTransactions(ProxyState &state, Effects &out)
+void rollBackOpenTransactions(ProxyState &state, Effects &out)
 {
     std::vector<TransactionId> open;
     for (const auto &[id, transaction] : state.entry_.transactions_) {
@@ -64,7 +64,7 @@
         endEntryTransaction(state, id, true, out);
     }
     for (auto &[group, owner] : state.owners_) {
-        cutOwnedTransactions(state, owner, out);
+        rollBackOwnedTransactions(state, owner, out);
     }
 }
 
@@ -76,10 +76,10 @@
         return;
     }
     state.drain_.draining_ = true;
-    state.drain_.mayExitAt_ = now + linger;
+    state.drain_.earliestExitAt_ = now + linger;
     out.push_back(WriteLog{LogNumber::DrainStarted, {}});
     state.timers_.arm(now + linger, {TimerTopic::Drain, {}, lingerKey});
-    state.timers_.arm(now + state.configuration_.policy_.drainTimeout_, {TimerTopic::Drain, {}, cutKey});
+    state.timers_.arm(now + state.configuration_.policy_.drainTimeout_, {TimerTopic::Drain, {}, timeoutKey});
     announceLeaving(state, now, out);
     handOverTerms(state, out);
     reviewDrain(state, now, out);
@@ -87,14 +87,14 @@
 
 void reviewDrain(ProxyState &state, Time now, Effects &out)
 {
-    if (state.drain_.cutting_) {
-        cutTransactions(state, out);
-        if (!state.local_.empty()) {
-            state.timers_.arm(now, {TimerTopic::Drain, {}, lingerKey}); // What this proxy has told itself is taken in by the next event.
+    if (state.drain_.rollingBack_) {
+        rollBackOpenTransactions(state, out);
+        if (!state.localMessages_.empty()) {
+            state.timers_.arm(now, {TimerTopic::Drain, {}, lingerKey}); // The messages of this proxy to itself are processed with the next event.
         }
     }
-    const bool busy = !state.entry_.requests_.empty() || !state.entry_.transactions_.empty() || ownsWork(state) || !state.local_.empty();
-    if (busy || now < state.drain_.mayExitAt_ || state.drain_.exited_) {
+    const bool busy = !state.entry_.requests_.empty() || !state.entry_.transactions_.empty() || hasOwnedWork(state) || !state.localMessages_.empty();
+    if (busy || now < state.drain_.earliestExitAt_ || state.drain_.exited_) {
         return;
     }
     state.drain_.exited_ = true;
@@ -104,12 +104,12 @@
 
 void onDrainTimer(ProxyState &state, const TimerTag &tag, Time /*now*/, Effects &out)
 {
-    const bool timeIsUp = tag.key_ == cutKey && !state.drain_.exited_;
-    if (!timeIsUp) {
-        return; // The review after each event looks whether the process may end.
+    const bool expired = tag.key_ == timeoutKey && !state.drain_.exited_;
+    if (!expired) {
+        return; // reviewDrain() runs after each event and checks whether the process may exit.
     }
-    // Callers of open transactions are told with their next step that nothing of them ran: no commit was sent.
-    state.drain_.cutting_ = true;
+    // The next step of each open transaction is answered with the outcome that nothing of the transaction ran, since no commit was sent.
+    state.drain_.rollingBack_ = true;
     out.push_back(WriteLog{LogNumber::DrainCutTransactions, {{"transactions", std::to_string(state.entry_.transactions_.size())}}});
 }
 
--- a/src/Drain.h
+++ b/src/Drain.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines the graceful shutdown of a proxy: it takes no new work, finishes what it has, hands over, and ends.
+ * Defines the graceful shutdown of a proxy: it accepts no new work, finishes its current work, hands over unused terms, and exits.
  */
 #pragma once
 
@@ -16,16 +16,16 @@
 struct DrainState
 {
     bool draining_ = false;
-    bool cutting_ = false; ///< The drain timeout has passed: open transactions are rolled back.
+    bool rollingBack_ = false; ///< Whether the drain timeout has expired, so that open transactions are rolled back.
     bool exited_ = false;
-    Time mayExitAt_; ///< Refusals are still given until then.
+    Time earliestExitAt_; ///< Until then the process stays to refuse late requests.
 };
 
 /** Begins the shutdown. */
 void onDrainAsked(ProxyState &state, Time now, Effects &out);
-/** Ends the process when nothing is in flight any more; called after every event while draining. */
+/** Ends the process once nothing is in flight any more; called after every event while draining. */
 void reviewDrain(ProxyState &state, Time now, Effects &out);
-/** Subscriber of Drain. */
+/** Handles timers of TimerTopic::Drain. */
 void onDrainTimer(ProxyState &state, const TimerTag &tag, Time now, Effects &out);
 
 } // namespace Figward
--- a/src/Effect.h
+++ b/src/Effect.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines the effects that the reducer returns as data. None is assumed to have worked: what comes of it returns as an event.
+ * Defines the effects that the reducer returns as data. No effect is assumed to succeed: its result is reported to the reducer as an event.
  */
 #pragma once
 
@@ -22,33 +22,33 @@
     RequestId id_;
     Answer answer_;
 };
-/** Send a message to the proxy at an address; failure comes back as PeerLost. */
+/** Send a message to the proxy at an address; a failure is reported as PeerLost. */
 struct SendPeer
 {
     std::string address_;
     PeerMessage message_;
 };
-/** Open a connection; comes back as ConnectionOpened or ConnectionLost. */
+/** Open a connection; the result is reported as ConnectionOpened or ConnectionLost. */
 struct OpenConnection
 {
     ConnectionId connection_;
     MemberId member_;
     std::string address_;
-    ServiceId service_{}; ///< Of a member that serves sessions; it refuses the name of another.
-    OrganisationId organisation_{}; ///< For which the connection runs statements; empty: for none, or for the proxy itself.
+    ServiceId service_{}; ///< Set for a member that serves sessions; the member refuses the connection if it belongs to another service.
+    OrganisationId organisation_{}; ///< Organisation whose statements the connection runs; empty if none, or for statements of the proxy itself.
 };
-/** Close a connection; ConnectionLost does not follow, answers that are still under way are dropped. */
+/** Close a connection. ConnectionLost is not reported, and answers still in flight are discarded. */
 struct CloseConnection
 {
     ConnectionId connection_;
 };
-/** Send a statement; comes back as UpstreamAnswered or ConnectionLost, or never. */
+/** Send a statement; the result is reported as UpstreamAnswered or ConnectionLost, or not at all. */
 struct SendStatement
 {
     ConnectionId connection_;
     UpstreamStatement statement_;
 };
-/** Make a control call; always comes back as ControlAnswered. */
+/** Make a control call; the result is always reported as ControlAnswered. */
 struct SendControl
 {
     MemberId member_;
@@ -56,12 +56,12 @@
     Duration timeout_{};
     ControlCall call_;
 };
-/** Call the platform; always comes back as PlatformAnswered. */
+/** Call the platform; the result is always reported as PlatformAnswered. */
 struct CallPlatform
 {
     PlatformCall call_;
 };
-/** Send WakeUp at this time; replaces the time armed before. */
+/** Report WakeUp at this time; replaces the previously armed time. */
 struct ArmWakeUp
 {
     Time at_;
@@ -72,7 +72,7 @@
     LogNumber number_;
     std::vector<LogField> fields_;
 };
-/** Nothing is in flight any more: end the process. */
+/** End the process; nothing is in flight any more. */
 struct ExitProcess
 {
 };
--- a/src/Event.h
+++ b/src/Event.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines the events that the reducer takes: everything that happens to a proxy, with the time at which it happened.
+ * Defines the events processed by the reducer: everything that happens to a proxy, with the time at which it happened.
  */
 #pragma once
 
@@ -16,19 +16,20 @@
 /** First event of a process. */
 struct Started
 {
-    std::uint64_t unixSeconds_ = 0; ///< Wall clock at this event, in seconds since the Unix epoch; zero if not known. Only old keys are judged by it.
+    std::uint64_t unixSeconds_ =
+        0; ///< Wall-clock time of this event in seconds since the Unix epoch; zero if not known. Used only for the age of keys and for reports.
 };
-/** The time asked for by ArmWakeUp has come. */
+/** The time requested by ArmWakeUp has been reached. */
 struct WakeUp
 {
 };
-/** A caller asks something. The id was chosen by the shell and has not been used before in this process. */
+/** A caller sent a request. The id is assigned by the shell and has not been used before in this process. */
 struct CallerAsked
 {
     RequestId id_;
     Request request_;
 };
-/** The caller of an open transaction is gone. */
+/** The caller of an open transaction has disconnected. */
 struct CallerGone
 {
     TransactionId transaction_;
@@ -38,24 +39,24 @@
 {
     PeerMessage message_;
 };
-/** A connection to another proxy failed; messages sent lately may or may not have arrived. */
+/** A connection to another proxy was lost; recently sent messages may or may not have arrived. */
 struct PeerLost
 {
     std::string address_;
 };
-/** A connection asked for by OpenConnection is ready. */
+/** A connection requested by OpenConnection is ready. */
 struct ConnectionOpened
 {
     ConnectionId connection_;
 };
 /** Why a connection ended. */
 enum class ConnectionEnd {
-    Refused, ///< The upstream is at its connection limit; the connection never was.
-    Unreachable, ///< Could not be opened.
-    Misrouted, ///< Another member, or another service, than the one meant answered.
-    Closed, ///< Ended after it was open.
+    Refused, ///< The upstream is at its connection limit; the connection was never established.
+    Unreachable, ///< The connection could not be opened.
+    Misrouted, ///< A different member or service than the intended one answered.
+    Closed, ///< The connection ended after it had been established.
 };
-/** A connection is gone. Statements sent on it and not answered are unknown. */
+/** A connection ended. The outcome of unanswered statements on it is unknown. */
 struct ConnectionLost
 {
     ConnectionId connection_;
--- a/src/Gossip.cpp
+++ b/src/Gossip.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-constexpr std::int64_t jitterShare = 4;
+constexpr std::int64_t jitterDivisor = 4;
 
 const VmInfo &successor(const std::vector<VmInfo> &vms, VmId self)
 {
@@ -39,21 +39,21 @@
     return targets;
 }
 
-void spreadNews(ProxyState &state, const PeerBody &body, Effects &out)
+void gossipUpdate(ProxyState &state, const PeerBody &body, Effects &out)
 {
     for (const VmInfo &target : gossipTargets(state, state.membership_.tuning_.newsFanOut_)) {
         sendPeer(state, target, body, out);
     }
 }
 
-Heartbeat ownHeartbeat(const ProxyState &state)
+Heartbeat makeHeartbeat(const ProxyState &state)
 {
     return {.sender_ = state.identity_.self_};
 }
 
 Duration jittered(ProxyState &state, Duration interval)
 {
-    const std::int64_t span = std::max<std::int64_t>(1, interval.count() / jitterShare);
+    const std::int64_t span = std::max<std::int64_t>(1, interval.count() / jitterDivisor);
     const auto offset = static_cast<std::int64_t>(state.random_() % static_cast<std::uint64_t>(2 * span));
     return interval + Duration(offset - span);
 }
--- a/src/Gossip.h
+++ b/src/Gossip.h
@@ -1,5 +1,6 @@
 /** \file
- * Defines to whom news of the fleet spreads: to the next VM in the order of ids, which alone reaches every VM, and to a few random ones, which makes it fast.
+ * Defines gossip between proxies. An update goes to the next VM in the order of ids, which alone ensures that it reaches every VM, and to a few random VMs,
+ * which makes it spread quickly.
  */
 #pragma once
 
@@ -12,13 +13,13 @@
 
 struct ProxyState;
 
-/** Up to \p count VMs: the next one in the order of ids, the others at random. */
+/** Returns up to \p count VMs: the next one in the order of ids, and others at random. */
 std::vector<VmInfo> gossipTargets(ProxyState &state, unsigned count);
-/** Sends \p body to the targets of a change: each VM passes a change on once, when it first learns of it. */
-void spreadNews(ProxyState &state, const PeerBody &body, Effects &out);
-/** A sign of life of this proxy; it carries the version of the configuration. */
-Heartbeat ownHeartbeat(const ProxyState &state);
-/** \p interval changed by up to a quarter either way, so that proxies that started together do not act together. */
+/** Sends \p body, an update, to the gossip targets. Each VM passes an update on once, when it first receives it. */
+void gossipUpdate(ProxyState &state, const PeerBody &body, Effects &out);
+/** Returns a heartbeat of this proxy. As every peer message, it is sent with the version of the configuration. */
+Heartbeat makeHeartbeat(const ProxyState &state);
+/** Returns \p interval with a random jitter of up to a quarter either way, so that proxies that started together do not stay synchronised. */
 Duration jittered(ProxyState &state, Duration interval);
 
 } // namespace Figward
--- a/src/Manifest.cpp
+++ b/src/Manifest.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-/** Parts by name. */
+/** Content hashes of the parts by part name. */
 using PartIndex = std::map<std::string, std::string>;
 
 PartIndex indexOf(const Manifest &manifest)
@@ -24,7 +24,7 @@
     return index;
 }
 
-json::object headOf(const Manifest &manifest)
+json::object encodeHeader(const Manifest &manifest)
 {
     json::array earlier;
     for (const AttemptId attempt : manifest.earlierAttempts_) {
@@ -60,7 +60,7 @@
     }
 }
 
-/** Throws what Boost.JSON throws when a field is missing or of another type. */
+/** Throws the exceptions of Boost.JSON if a field is missing or has the wrong type. */
 Manifest decodeObject(const json::object &object, PartIndex index)
 {
     Manifest manifest;
@@ -105,7 +105,7 @@
 
 std::string encodeManifest(const Manifest &manifest)
 {
-    json::object object = headOf(manifest);
+    json::object object = encodeHeader(manifest);
     object["parts"] = encodeParts(manifest.parts_);
     return json::serialize(object);
 }
@@ -125,7 +125,7 @@
             removed.emplace_back(name);
         }
     }
-    json::object object = headOf(manifest);
+    json::object object = encodeHeader(manifest);
     object["base"] = base.version_.value();
     object["parts"] = encodeParts(changed);
     object["removed"] = std::move(removed);
--- a/src/Manifest.h
+++ b/src/Manifest.h
@@ -1,7 +1,7 @@
 /** \file
- * Defines the manifest of a configuration: its version and the content hash of each part, committed to the platform by one conditional update.
+ * Defines the manifest of a configuration: its version and the content hash of each part. It is committed to the platform by a single conditional update.
  *
- * Parts are immutable objects named by their hash, so that a proxy fetches only those that it lacks and can check each against the manifest.
+ * Parts are immutable objects named by their hash, so that a proxy fetches only the missing ones and can verify each against the manifest.
  */
 #pragma once
 
@@ -14,7 +14,7 @@
 
 namespace Figward {
 
-/** One part of a configuration, by reference. */
+/** Reference to one part of a configuration. */
 struct ManifestPart
 {
     std::string name_;
@@ -22,30 +22,31 @@
     bool operator==(const ManifestPart &) const = default;
 };
 
-/** What a configuration consists of. */
+/** Version and parts of a configuration. */
 struct Manifest
 {
     ConfigVersion version_;
-    AttemptId attempt_; ///< Of the apply that wrote it.
-    std::vector<AttemptId> earlierAttempts_; ///< Of the versions before, newest first: an author finds itself there when it was superseded at once.
+    AttemptId attempt_; ///< Id of the apply that wrote this manifest.
+    std::vector<AttemptId>
+        earlierAttempts_; ///< Attempts of previous versions, newest first. An author whose version was replaced at once finds its attempt here.
     std::vector<ManifestPart> parts_; ///< Ordered by name.
     bool operator==(const Manifest &) const = default;
 };
 
-/** Path of the manifest on the platform. */
+/** Returns the path of the manifest on the platform. */
 std::string manifestPath();
-/** Path of the part with content hash \p hash. */
+/** Returns the path on the platform of the part with content hash \p hash. */
 std::string partPath(std::string_view hash);
-/** XXH3 of 128 bits over \p text, as 32 hexadecimal digits. */
+/** Returns the 128-bit XXH3 hash of \p text as 32 hexadecimal digits. */
 std::string contentHash(std::string_view text);
 
-/** JSON text of \p manifest. */
+/** Returns \p manifest as JSON text. */
 std::string encodeManifest(const Manifest &manifest);
-/** JSON text of what changed from \p base to \p manifest; at 690 services it is some 200 bytes in place of 45 KB. */
+/** Returns the changes from \p base to \p manifest as JSON text: at 690 services about 200 bytes instead of 45 KB. */
 std::string encodeManifestSince(const Manifest &manifest, const Manifest &base);
 /**
- * Reads what encodeManifest() or encodeManifestSince() wrote. InvalidArgument if \p text is neither; FailedPrecondition if it describes a change
- * from another version than that of \p base.
+ * Decodes the output of encodeManifest() or encodeManifestSince(). Returns InvalidArgument if \p text is neither, and FailedPrecondition if it describes
+ * changes relative to a version other than that of \p base.
  */
 absl::StatusOr<Manifest> decodeManifest(std::string_view text, const Manifest &base = {});
 
--- a/src/MemberChanges.cpp
+++ b/src/MemberChanges.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/** Members of \p group that \p other lacks. A member at another address is another database. */
+/** Returns the number of members of \p group that are not in \p other. A member whose address differs is a different database. */
 std::ptrdiff_t countMissing(const GroupConfig &group, const GroupConfig &other)
 {
     const auto missing = [&](const MemberConfig &member) {
@@ -17,12 +17,12 @@
 
 } // namespace
 
-std::vector<GroupId> unsafeMemberChanges(const Configuration &former, const Configuration &next)
+std::vector<GroupId> unsafeMemberChanges(const Configuration &previous, const Configuration &next)
 {
     std::vector<GroupId> unsafe;
     for (const auto &[id, group] : next.groups_) {
-        const auto before = former.groups_.find(id);
-        if (before != former.groups_.end() && countMissing(group, before->second) + countMissing(before->second, group) > 1) {
+        const auto before = previous.groups_.find(id);
+        if (before != previous.groups_.end() && countMissing(group, before->second) + countMissing(before->second, group) > 1) {
             unsafe.push_back(id);
         }
     }
--- a/src/MemberChanges.h
+++ b/src/MemberChanges.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines which changes of a group's members are safe between one configuration and the next.
+ * Defines which member changes of a group are safe between two consecutive configurations.
  */
 #pragma once
 
@@ -10,12 +10,12 @@
 namespace Figward {
 
 /**
- * The groups that lose or gain more than one member from \p former to \p next. Groups that are new or gone as a whole are not among them.
+ * Returns the groups that lose or gain more than one member in total from \p previous to \p next. Groups that are added or removed as a whole are not included.
  *
- * A write is acknowledged once a majority of the members holds it, and a new primary is chosen by a majority. With one member more or less any two such
- * majorities share a member; with two changes they need not: of a, b, c the write is on a and c, and of a, b, d the new primary is chosen by b and d, which
- * never saw it.
+ * A write is acknowledged once a majority of the members holds it, and a new primary is chosen by a majority. If one member is added or removed, a majority
+ * before the change and one after it always share a member. With two changes they need not: if members a, b, c become a, b, d, a write may be held by a and c
+ * only, and the new primary be chosen by b and d, which do not have it.
  */
-std::vector<GroupId> unsafeMemberChanges(const Configuration &former, const Configuration &next);
+std::vector<GroupId> unsafeMemberChanges(const Configuration &previous, const Configuration &next);
 
 } // namespace Figward
--- a/src/Ownership.cpp
+++ b/src/Ownership.cpp
@@ -22,7 +22,7 @@
     return members;
 }
 
-void beginOwning(ProxyState &state, const GroupConfig &config, Time now, Effects &out)
+void acquireOwnership(ProxyState &state, const GroupConfig &config, Time now, Effects &out)
 {
     GroupOwner &owner = state.owners_[config.id_];
     owner.config_ = config;
@@ -33,23 +33,23 @@
     out.push_back(WriteLog{LogNumber::OwnershipBegan, {{"group", config.id_.value()}}});
 }
 
-/** Closes connections that lead to a database that the group no longer has, unless a transaction is open there. */
-void dropIdleStrays(ProxyState &state, GroupOwner &owner, Effects &out)
+/** Closes the idle connections to members that have left the group or are leaving it. Connections in use, such as by an open transaction, stay. */
+void closeUnwantedIdleConnections(ProxyState &state, GroupOwner &owner, Effects &out)
 {
-    std::vector<ConnectionId> strays;
+    std::vector<ConnectionId> unwantedIdle;
     for (const auto &[id, connection] : owner.pool_.connections_) {
         const MemberView *member = findMember(owner.view_, connection.member_);
         const bool unwanted = member == nullptr || member->config_.leaving_;
         if (unwanted && connection.use_ == ConnectionUse::Idle) {
-            strays.push_back(id);
+            unwantedIdle.push_back(id);
         }
     }
-    for (const ConnectionId id : strays) {
+    for (const ConnectionId id : unwantedIdle) {
         closeConnection(state, owner, id, out);
     }
 }
 
-/** Takes a change of the group's configuration into the owner's view. */
+/** Applies a change of the group's configuration to the owner's state. */
 void applyGroupConfig(ProxyState &state, GroupOwner &owner, const GroupConfig &config, Time now, Effects &out)
 {
     if (owner.config_ == config) {
@@ -58,13 +58,13 @@
     owner.config_ = config;
     owner.view_.members_ = membersOf(config, owner.view_);
     std::erase_if(owner.pool_.circuits_, [&](const auto &entry) { return findMember(owner.view_, entry.first) == nullptr; });
-    dropIdleStrays(state, owner, out);
+    closeUnwantedIdleConnections(state, owner, out);
     onGroupViewChanged(state, owner, now, out);
     reviewPrimary(state, owner, now, out);
 }
 
-/** Lets go of \p owner: it finishes what it has and takes nothing new. */
-void beginLeaving(ProxyState &state, GroupOwner &owner, Time now, Effects &out)
+/** Begins to give up the ownership of a group: \p owner finishes its requests and accepts no new ones. */
+void beginReleasing(ProxyState &state, GroupOwner &owner, Time now, Effects &out)
 {
     if (owner.leaving_) {
         return;
@@ -85,14 +85,14 @@
     }
     if (self == owners.end()) {
         if (owner != nullptr) {
-            beginLeaving(state, *owner, now, out);
+            beginReleasing(state, *owner, now, out);
         }
         return;
     }
     const auto rank = static_cast<unsigned>(self - owners.begin());
     if (owner == nullptr) {
         state.owners_[config.id_].rank_ = rank;
-        beginOwning(state, config, now, out);
+        acquireOwnership(state, config, now, out);
         owner = findOwner(state, config.id_);
     }
     owner->leaving_ = false;
@@ -115,7 +115,7 @@
     }
     for (auto &[id, owner] : state.owners_) {
         if (!state.configuration_.groups_.contains(id)) {
-            beginLeaving(state, owner, now, out);
+            beginReleasing(state, owner, now, out);
         }
     }
 }
--- a/src/Ownership.h
+++ b/src/Ownership.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines how this proxy begins, changes and ends to own groups when the configuration or the list of VMs changes.
+ * Defines how this proxy gains, updates and gives up the ownership of groups when the configuration or the list of VMs changes.
  */
 #pragma once
 
@@ -11,8 +11,8 @@
 struct ProxyState;
 
 /**
- * Compares what this proxy owns with what it should own. A group that it no longer owns is let go once its requests and transactions have ended; a group whose
- * configuration changed keeps all that is known of the members that stay.
+ * Brings the groups that this proxy owns in line with the configuration and the list of VMs. A group that it should no longer own is released once its
+ * requests and transactions have ended. When the configuration of a group changes, the recorded state of its remaining members is kept.
  */
 void refreshOwnership(ProxyState &state, Time now, Effects &out);
 
--- a/src/Peer.h
+++ b/src/Peer.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines the messages between proxies. Every message carries the sender's configuration version, so that a change spreads with ordinary work.
+ * Defines the messages between proxies. Every message carries the sender's configuration version, so that proxies learn of a new version from ordinary traffic.
  */
 #pragma once
 
@@ -17,7 +17,7 @@
 /** An entry proxy asks an owner of the group to run a request. */
 struct ForwardRequest
 {
-    RequestId id_; ///< The entry's.
+    RequestId id_; ///< Assigned by the entry.
     Request request_;
 };
 /** The answer to a ForwardRequest. */
@@ -26,49 +26,49 @@
     RequestId id_;
     Answer answer_;
 };
-/** The caller of an open transaction is gone: roll it back. */
+/** Asks the owner to roll back an open transaction whose caller has disconnected. */
 struct AbandonTransaction
 {
     TransactionId transaction_;
 };
-/** Asks another owner whether it, too, has lost the primary. */
+/** Asks another owner whether the primary is unresponsive to it as well. */
 struct SuspicionQuery
 {
     GroupId group_;
     Term term_;
     MemberId primary_;
 };
-/** The answer: whether a probe that was sent after the query came back from the primary in that term. */
+/** The answer to a SuspicionQuery: whether the primary answered, in that term, a probe sent after the query arrived. */
 struct SuspicionAnswer
 {
     GroupId group_;
     Term term_;
     bool primarySeen_ = false;
 };
-/** A group has a new primary. Also sent to those who ask with an older term. */
+/** Announces a new primary of a group. Also sent in answer to a query with an older term. */
 struct PrimaryNews
 {
     GroupId group_;
     Term term_;
     MemberId primary_;
 };
-/** A sign of life between owners of the same group, and to peers that are otherwise silent. */
+/** Periodic message to a few other proxies; it shows that the sender is alive and carries its configuration version. */
 struct Heartbeat
 {
     VmInfo sender_;
-    bool wantsVms_ = false; ///< The sender has no list of VMs: answer with yours.
+    bool wantsVms_ = false; ///< The sender has no list of VMs and asks the receiver for its list.
 };
-/** What the sender has learnt of the list of VMs: a change that spreads from peer to peer, or all of it for one that asked by Heartbeat. */
+/** An update of the list of VMs that is passed on from peer to peer, or the complete list in answer to a Heartbeat with wantsVms_. */
 struct VmListNews
 {
-    std::vector<VmInfo> vms_; ///< New to the list, or changed.
-    std::vector<VmId> gone_; ///< No longer on the list.
+    std::vector<VmInfo> vms_; ///< VMs that were added or changed.
+    std::vector<VmId> gone_; ///< VMs that were removed.
 };
-/** Asks for the manifest of the receiver's configuration, if newer than the envelope's version. */
+/** Asks for the manifest of the receiver's configuration if that is newer than the version in the PeerMessage. */
 struct ManifestRequest
 {
 };
-/** The manifest of a configuration, as stored on the platform. */
+/** The manifest of a configuration, complete as stored on the platform, or as the changes since the version of the requesting proxy. */
 struct ManifestNews
 {
     ConfigVersion version_;
@@ -88,34 +88,34 @@
 struct QuotaRequest
 {
     GroupId group_;
-    std::uint64_t ask_ = 0; ///< Number of this request at its sender, which the loan names; zero to take back what the sender has lent.
+    std::uint64_t ask_ = 0; ///< Id of this request at its sender, returned in the loan; zero to recall what the sender has lent.
     ConnectionCount connections_;
     SlotCount slots_;
 };
-/** Lends quota until the lease ends by the lender's clock; the borrower counts a shorter time from its request. */
+/** Lends quota until the lease expires by the lender's clock; the borrower counts a shorter lease from the time of its request. */
 struct QuotaLoan
 {
     GroupId group_;
-    std::uint64_t ask_ = 0; ///< The request that it answers.
-    std::uint64_t loan_ = 0; ///< Number of the loan at the lender; zero when nothing more is lent.
+    std::uint64_t ask_ = 0; ///< Id of the request that this answers.
+    std::uint64_t loan_ = 0; ///< Id of the loan at the lender; zero if nothing more is lent.
     ConnectionCount connections_;
     SlotCount slots_;
     Duration lease_{};
 };
-/** The borrower no longer uses a loan, which may end before its lease. */
+/** The borrower no longer uses a loan and returns it before its lease expires. */
 struct QuotaReturn
 {
     GroupId group_;
     std::uint64_t loan_ = 0;
 };
-/** A draining proxy hands terms of its block to another owner; the giver will not use them. */
+/** Hands unused terms of a draining proxy's block to another owner; the sender will not use them. */
 struct TermHandover
 {
     GroupId group_;
     Term first_;
     Term last_;
 };
-/** What a proxy knows that the status report of its zone should show, encoded by Status. */
+/** The report of a proxy for the status report of its zone, encoded by encodeVmReport(). */
 struct StatusNews
 {
     std::string report_;
@@ -139,13 +139,13 @@
                               StatusNews,
                               QuotaReturn>;
 
-/** A message from one proxy to another; may be lost, late, or arrive twice. */
+/** A message from one proxy to another. It may be lost, delayed or duplicated. */
 struct PeerMessage
 {
     VmId from_;
-    VmId to_; ///< Zero when only the address is known; an incarnation other than this one drops the message.
+    VmId to_; ///< Zero if only the address is known. A process with another id discards the message, such as a new process at the same address.
     std::string fromAddress_;
-    ConfigVersion configVersion_; ///< Version in force at the sender.
+    ConfigVersion configVersion_; ///< Version active at the sender.
     PeerBody body_;
 };
 
--- a/src/Platform.h
+++ b/src/Platform.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines what figward asks of the platform's object API: versioned objects, conditional updates, watches and the list of VMs.
+ * Defines the calls to the platform's object API: versioned objects, conditional updates, watches and the list of VMs.
  */
 #pragma once
 
@@ -12,7 +12,7 @@
 
 namespace Figward {
 
-/** One proxy VM as the platform lists it. The list lags. */
+/** One proxy VM on the platform's list. The list is delayed. */
 struct VmInfo
 {
     VmId id_;
@@ -27,20 +27,20 @@
 {
     std::string path_;
 };
-/** Replace an object if it still has the expected version; zero creates it. The value carries the attempt id of its author. */
+/** Replace an object if it has the expected version; zero creates the object. A manifest written this way contains the attempt id of its author. */
 struct PutObject
 {
     std::string path_;
     ObjectVersion expected_;
     std::string value_;
 };
-/** Answer when the object's version is above the one given, or with the present state when the call's timeout ends. */
+/** Wait until the object's version is higher than the given one; answered with the current state when the timeout of the call expires. */
 struct WatchObject
 {
     std::string path_;
     ObjectVersion after_;
 };
-/** Read the lagging list of live and leaving VMs. */
+/** Read the list of live and leaving VMs, which is delayed. */
 struct ListVms
 {
 };
@@ -59,12 +59,12 @@
 enum class PlatformStatus {
     Ok,
     NotFound,
-    Conflict, ///< The object has another version than the one expected; nothing was changed.
-    Unavailable, ///< Proved not to have taken effect: the call did not reach the platform.
-    Lost, ///< No answer in time: an update may have taken effect.
+    Conflict, ///< The object does not have the expected version; nothing was changed.
+    Unavailable, ///< The call certainly had no effect: it did not reach the platform.
+    Lost, ///< No answer within the timeout; an update may have taken effect.
 };
 
-/** The answer to the call of the same id. The adapter always supplies one, at the latest when the call's timeout ends. */
+/** The answer to the call with the same id. The adapter always provides one, at the latest when the call's timeout expires. */
 struct PlatformAnswer
 {
     CallId id_;
--- a/src/PlatformClient.cpp
+++ b/src/PlatformClient.cpp
@@ -4,10 +4,10 @@
 
 namespace Figward {
 
-CallId callPlatform(ProxyState &state, PlatformUser user, PlatformBody body, Duration timeout, Effects &out, GroupId group, std::string detail)
+CallId callPlatform(ProxyState &state, PlatformUser requester, PlatformBody body, Duration timeout, Effects &out, GroupId group, std::string detail)
 {
     const CallId id(state.platform_.nextCall_++);
-    state.platform_.outstanding_[id] = {user, std::move(group), std::move(detail)};
+    state.platform_.outstanding_[id] = {requester, std::move(group), std::move(detail)};
     out.push_back(CallPlatform{{id, timeout, std::move(body)}});
     return id;
 }
@@ -20,7 +20,7 @@
     }
     const OutstandingCall call = std::move(found->second);
     state.platform_.outstanding_.erase(found);
-    switch (call.user_) {
+    switch (call.requester_) {
     case PlatformUser::Membership:
         onVmListAnswer(state, answer, now, out);
         return;
--- a/src/PlatformClient.h
+++ b/src/PlatformClient.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines calls to the platform from the core: who waits for the answer, and what a lost answer means.
+ * Defines how the core calls the platform and passes each answer to the component that made the call.
  */
 #pragma once
 
@@ -13,7 +13,7 @@
 
 struct ProxyState;
 
-/** The part of the core that waits for an answer. */
+/** The component of the core that made a call and receives the answer. */
 enum class PlatformUser {
     Membership,
     ConfigurationWatch,
@@ -22,24 +22,24 @@
     Status,
 };
 
-/** A call that has not ended yet. */
+/** A call whose answer is pending. */
 struct OutstandingCall
 {
-    PlatformUser user_{};
-    GroupId group_; ///< For GroupRecord.
-    std::string detail_; ///< The user's own, such as a path.
+    PlatformUser requester_{};
+    GroupId group_; ///< Set for calls of GroupRecord.
+    std::string detail_; ///< Data of the requester, such as the content hash of a requested part.
 };
 
-/** Calls under way. */
+/** Pending calls to the platform. */
 struct PlatformClientState
 {
     std::map<CallId, OutstandingCall> outstanding_;
     std::uint64_t nextCall_ = 1;
 };
 
-/** Calls the platform on behalf of \p user; the answer goes to that part. */
-CallId callPlatform(ProxyState &state, PlatformUser user, PlatformBody body, Duration timeout, Effects &out, GroupId group = {}, std::string detail = {});
-/** Hands the answer to the part that waits for it. */
+/** Calls the platform on behalf of \p requester, which receives the answer. */
+CallId callPlatform(ProxyState &state, PlatformUser requester, PlatformBody body, Duration timeout, Effects &out, GroupId group = {}, std::string detail = {});
+/** Passes an answer to the component that made the call; an answer to an unknown call is ignored. */
 void onPlatformAnswered(ProxyState &state, const PlatformAnswer &answer, Time now, Effects &out);
 
 } // namespace Figward
--- a/src/ProxyState.h
+++ b/src/ProxyState.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines the whole state of one proxy. It changes only in reduce().
+ * Defines the complete state of one proxy. Only reduce() modifies it.
  */
 #pragma once
 
@@ -25,11 +25,11 @@
 
 namespace Figward {
 
-/** What a process learns from its settings. */
+/** Identity of a process, read from its settings. */
 struct ProxyIdentity
 {
     VmInfo self_;
-    std::vector<std::string> seeds_; ///< Addresses of proxies to ask when the platform cannot be reached.
+    std::vector<std::string> seeds_; ///< Addresses of proxies to contact when the platform is unreachable.
 };
 
 /** State of one proxy. */
@@ -39,29 +39,29 @@
     std::mt19937_64 random_; ///< Seeded by the shell; the only source of randomness.
     TimerService timers_;
     WallClock wallClock_;
-    std::optional<Time> armedAt_; ///< The wake-up that the shell was last asked for.
+    std::optional<Time> armedAt_; ///< Time of the wake-up last requested from the shell.
     Configuration configuration_;
     ConfigurationSyncState sync_;
     MembershipState membership_;
     PlatformClientState platform_;
     EntryState entry_;
-    std::map<GroupId, GroupOwner> owners_; ///< Groups that this proxy owns, or still finishes work for.
+    std::map<GroupId, GroupOwner> owners_; ///< Groups that this proxy owns, and former ones whose remaining work has not finished.
     std::map<ControlId, OutstandingControl> controls_;
-    std::map<ConnectionId, GroupId> connections_; ///< Which group a connection belongs to.
-    std::map<VmId, ForwardWindow> forwards_; ///< Requests that came from each entry, this proxy's own among them.
-    std::deque<PeerMessage> local_; ///< Messages of this proxy to itself, taken in before the present event ends.
-    std::set<GroupId> dirty_; ///< Groups to dispatch before the present event ends.
-    std::uint64_t nextId_ = 1; ///< For connections, statements, control calls and probe rounds.
+    std::map<ConnectionId, GroupId> connections_; ///< Group that each connection belongs to.
+    std::map<VmId, ForwardWindow> forwards_; ///< Requests received from each entry, including those of this proxy itself.
+    std::deque<PeerMessage> localMessages_; ///< Messages of this proxy to itself; processed before reduce() returns.
+    std::set<GroupId> dirty_; ///< Groups whose queues are dispatched before reduce() returns.
+    std::uint64_t nextId_ = 1; ///< Next id for connections, statements, control calls, probe rounds and similar items.
     StatusState status_;
     DrainState drain_;
     std::optional<SessionServiceState> sessions_; ///< Set in a process that serves database sessions.
 };
 
-/** A proxy that has not started. Equal arguments give equal runs. */
+/** Returns the state of a proxy that has not started. Equal arguments give identical runs. */
 ProxyState makeProxyState(ProxyIdentity identity, std::uint64_t seed);
-/** A number not used before in this process. */
+/** Returns an id that has not been used before in this process. */
 std::uint64_t takeId(ProxyState &state);
-/** The owned group \p group, or null. */
+/** Returns the owner state of \p group, or null if this proxy holds none. */
 GroupOwner *findOwner(ProxyState &state, const GroupId &group);
 
 } // namespace Figward
--- a/src/Quota.cpp
+++ b/src/Quota.cpp
@@ -10,28 +10,29 @@
 
 namespace {
 
-constexpr std::uint32_t reserveShare = 16; // One connection in sixteen is nobody's: upstreams see a close later than the next open.
-constexpr Duration settleTime = std::chrono::seconds(2); // Longer than news of a VM takes to reach the other owners, and than a loan lasts.
+constexpr std::uint32_t reserveDivisor = 16; // One connection in 16 stays unassigned, because an upstream may see a close later than the open that follows it.
+constexpr Duration increaseDelay =
+    std::chrono::seconds(2); // Longer than a change of the list of VMs takes to reach the other owners, and longer than a loan lasts.
 
-/** The part of \p total that falls to \p rank among \p count owners; the first ranks take what does not divide. */
-std::uint32_t partOf(std::uint32_t total, unsigned rank, unsigned count)
+/** Returns the share of \p total for \p rank among \p count owners; the first ranks share the remainder. */
+std::uint32_t shareOf(std::uint32_t total, unsigned rank, unsigned count)
 {
     const std::uint32_t extra = rank < total % count ? 1 : 0;
     return total / count + extra;
 }
 
-std::uint32_t minus(std::uint32_t a, std::uint32_t b)
+std::uint32_t saturatingSubtract(std::uint32_t a, std::uint32_t b)
 {
     return a > b ? a - b : 0;
 }
 
-Quota lesserOf(const Quota &a, const Quota &b)
+Quota minimumOf(const Quota &a, const Quota &b)
 {
     return {std::min(a.connections_, b.connections_), std::min(a.slots_, b.slots_)};
 }
 
-/** What an owner starts with, while the former owner still finishes its work: a connection to each member and one slot. */
-Quota starterQuota(const GroupOwner &owner)
+/** Returns the quota of a new owner while the previous owner finishes its work: a connection to each member and one slot. */
+Quota initialQuota(const GroupOwner &owner)
 {
     return {ConnectionCount(static_cast<std::uint32_t>(owner.config_.members_.size())), SlotCount(1)};
 }
@@ -39,12 +40,12 @@
 Quota targetQuota(const GroupOwner &owner, unsigned ownerCount)
 {
     if (owner.leaving_) {
-        // What it has begun must end, and needs a slot for that.
-        return starterQuota(owner);
+        // Statements and transactions that have begun still need a slot to finish.
+        return initialQuota(owner);
     }
     const std::uint32_t limit = owner.config_.connectionLimit_.value();
-    const std::uint32_t shared = limit - limit / reserveShare;
-    return {ConnectionCount(partOf(shared, owner.rank_, ownerCount)), SlotCount(partOf(owner.config_.slots_.value(), owner.rank_, ownerCount))};
+    const std::uint32_t shared = limit - limit / reserveDivisor;
+    return {ConnectionCount(shareOf(shared, owner.rank_, ownerCount)), SlotCount(shareOf(owner.config_.slots_.value(), owner.rank_, ownerCount))};
 }
 
 std::optional<ConnectionId> longestIdle(const ConnectionPool &pool)
@@ -65,7 +66,7 @@
 Quota ownQuota(const GroupOwner &owner, Time now)
 {
     const QuotaState &quota = owner.quota_;
-    return now < quota.risesAt_ ? lesserOf(quota.own_, quota.target_) : quota.target_;
+    return now < quota.increaseAt_ ? minimumOf(quota.previous_, quota.target_) : quota.target_;
 }
 
 Quota usableQuota(const GroupOwner &owner, Time now)
@@ -73,25 +74,25 @@
     const Quota own = ownQuota(owner, now);
     const Quota lent = lentQuota(owner.quota_, now);
     const Quota borrowed = borrowedQuota(owner.quota_, now);
-    return {ConnectionCount(minus(own.connections_.value(), lent.connections_.value()) + borrowed.connections_.value()),
-            SlotCount(minus(own.slots_.value(), lent.slots_.value()) + borrowed.slots_.value())};
+    return {ConnectionCount(saturatingSubtract(own.connections_.value(), lent.connections_.value()) + borrowed.connections_.value()),
+            SlotCount(saturatingSubtract(own.slots_.value(), lent.slots_.value()) + borrowed.slots_.value())};
 }
 
 void resetQuota(ProxyState &state, GroupOwner &owner, unsigned ownerCount, Time now, Effects &out)
 {
     QuotaState &quota = owner.quota_;
     const bool fresh = quota.target_ == Quota{};
-    const Quota before = fresh ? starterQuota(owner) : ownQuota(owner, now);
+    const Quota before = fresh ? initialQuota(owner) : ownQuota(owner, now);
     const Quota target = targetQuota(owner, ownerCount);
     if (!fresh && target == quota.target_) {
         return;
     }
-    quota.own_ = before;
+    quota.previous_ = before;
     quota.target_ = target;
-    const bool rises = lesserOf(before, target) != target;
-    quota.risesAt_ = rises ? now + settleTime : now;
-    if (rises) {
-        state.timers_.arm(quota.risesAt_, {TimerTopic::Quota, owner.config_.id_, 0});
+    const bool increases = minimumOf(before, target) != target;
+    quota.increaseAt_ = increases ? now + increaseDelay : now;
+    if (increases) {
+        state.timers_.arm(quota.increaseAt_, {TimerTopic::Quota, owner.config_.id_, 0});
     }
     if (owner.leaving_) {
         beginReturningLoans(state, owner, now, out);
--- a/src/Quota.h
+++ b/src/Quota.h
@@ -1,8 +1,8 @@
 /** \file
- * Defines an owner's part of a group's scarce connections and slots.
+ * Defines an owner's share of a group's limited connections and statement slots.
  *
- * Owners divide the group's limits by rank. A decrease holds at once, an increase after a pause, so that the parts of all owners together stay under the limit
- * while an ownership moves. What keeps the limit when lists of VMs differ is the upstream: it refuses, and the pool backs off.
+ * The owners divide the group's limits by rank. A decrease takes effect at once and an increase after a delay, so that the sum of all shares stays below the
+ * limit while ownership moves. When VMs have different lists of VMs, the upstream enforces the limit: it refuses connections, and the pool backs off.
  */
 #pragma once
 
@@ -32,46 +32,46 @@
     std::uint64_t loan_ = 0;
     VmId borrower_;
     Quota amount_;
-    Time until_; ///< It is not used here before, unless it is returned.
+    Time expiresAt_; ///< Until then the lender does not use the quota, unless it is returned earlier.
 };
 
-/** Quota that another owner has lent. */
+/** Quota that is borrowed from another owner. */
 struct QuotaBorrowed
 {
-    std::uint64_t loan_ = 0; ///< Number at the lender.
+    std::uint64_t loan_ = 0; ///< Id of the loan at the lender.
     VmInfo lender_;
     Quota amount_;
-    Time until_;
-    bool returning_ = false; ///< Not for new work; returned when what uses it has ended.
+    Time expiresAt_;
+    bool returning_ = false; ///< Not available to new work; returned when the work that uses it has ended.
 };
 
-/** Quota of one owned group. */
+/** State of this owner's quota for one group. */
 struct QuotaState
 {
-    Quota own_; ///< In force until risesAt_.
-    Quota target_; ///< By rank; in force from risesAt_.
-    Time risesAt_;
+    Quota previous_; ///< Limits the quota until increaseAt_.
+    Quota target_; ///< Share by rank; fully usable from increaseAt_.
+    Time increaseAt_;
     std::vector<QuotaLent> lent_;
     std::vector<QuotaBorrowed> borrowed_;
-    std::uint64_t ask_ = 0; ///< The last request to other owners; loans that answer earlier ones do not count.
-    Time askedAt_;
-    Time askAgainAt_;
-    Duration patience_{}; ///< Between requests that bring nothing.
-    Time neededAt_; ///< When this owner last had more work than quota.
+    std::uint64_t requestId_ = 0; ///< Id of the last request to other owners; loans that answer earlier requests are ignored.
+    Time requestedAt_;
+    Time nextRequestAt_;
+    Duration backoff_{}; ///< Delay between requests that obtain no additional quota.
+    Time lastShortageAt_; ///< When this owner last had more work than quota.
 };
 
-/** What the owner has by rank at \p now, loans not counted. */
+/** Returns the owner's share by rank at \p now, not counting loans. */
 Quota ownQuota(const GroupOwner &owner, Time now);
-/** What this owner may use at \p now, loans counted. */
+/** Returns the quota that this owner may use at \p now, counting loans. */
 Quota usableQuota(const GroupOwner &owner, Time now);
-/** Sets the owner's part from its rank, the number of owners and whether it is leaving. */
+/** Sets the owner's share from its rank, the number of owners and whether it is leaving. */
 void resetQuota(ProxyState &state, GroupOwner &owner, unsigned ownerCount, Time now, Effects &out);
 /** Closes idle connections, longest idle first, until the owner holds no more than its quota. */
 void trimToQuota(ProxyState &state, GroupOwner &owner, Time now, Effects &out);
-/** Subscriber of Quota. */
+/** Handles timers of TimerTopic::Quota. */
 void onQuotaTimer(ProxyState &state, const TimerTag &tag, Time now, Effects &out);
 
-/** Requests wait for quota: takes back what is lent, or asks other owners to lend some of theirs. */
+/** Handles a shortage of quota for queued requests: recalls quota that is lent, or else asks the other owners for loans. */
 void onQuotaShort(ProxyState &state, GroupOwner &owner, Time now, Effects &out);
 void onQuotaRequest(ProxyState &state, const PeerMessage &message, const QuotaRequest &request, Time now, Effects &out);
 void onQuotaLoan(ProxyState &state, const PeerMessage &message, const QuotaLoan &loan, Time now, Effects &out);
--- a/src/QuotaLoans.h
+++ b/src/QuotaLoans.h
@@ -1,8 +1,9 @@
 /** \file
- * Defines the lending of idle quota between the owners of a group: short leases, renewed while needed, taken back when the lender has work itself.
+ * Defines loans of idle quota between the owners of a group. A loan is a short lease: it is renewed while needed, and recalled when the lender has work.
  *
- * A loan ends at the borrower before it ends at the lender: the borrower counts a part of the lease from its request, which was sent before the lender began
- * to count all of it. A lost message therefore wastes quota for one lease and never doubles it.
+ * A loan expires at the borrower before it expires at the lender: the borrower counts a shorter lease from the time of its request, whereas the lender counts
+ * the full lease from when it grants the loan, which is later. A lost message can therefore leave quota unused for one lease, but it can never cause the quota
+ * to be used twice.
  */
 #pragma once
 
@@ -11,13 +12,13 @@
 
 namespace Figward {
 
-/** Sum of what is lent at \p now. */
+/** Returns the total quota that is lent at \p now. */
 Quota lentQuota(const QuotaState &quota, Time now);
-/** Sum of what is borrowed at \p now and may be used for new work. */
+/** Returns the total quota that is borrowed at \p now and available to new work. */
 Quota borrowedQuota(const QuotaState &quota, Time now);
-/** Renews or returns what is borrowed, and forgets what has ended. */
+/** Renews or returns borrowed quota as needed, and removes expired loans. */
 void reviewLoans(ProxyState &state, GroupOwner &owner, Time now, Effects &out);
-/** Returns all that is borrowed as soon as what uses it has ended. */
+/** Marks all borrowed quota as returning; it is returned as soon as the work that uses it has ended. */
 void beginReturningLoans(ProxyState &state, GroupOwner &owner, Time now, Effects &out);
 
 } // namespace Figward
--- a/src/Reducer.cpp
+++ b/src/Reducer.cpp
@@ -14,8 +14,8 @@
 
 using TimerHandler = void (*)(ProxyState &, const TimerTag &, Time, Effects &);
 
-/** The one subscriber of each topic. */
-TimerHandler subscriberOf(TimerTopic topic)
+/** Returns the handler of \p topic; each topic has exactly one. */
+TimerHandler timerHandlerOf(TimerTopic topic)
 {
     switch (topic) {
     case TimerTopic::EntryDeadline:
@@ -61,15 +61,15 @@
 {
     state.armedAt_.reset();
     for (const TimerTag &tag : state.timers_.takeDue(now)) {
-        subscriberOf(tag.topic_)(state, tag, now, out);
+        timerHandlerOf(tag.topic_)(state, tag, now, out);
     }
 }
 
 void onPeerMessage(ProxyState &state, const PeerMessage &message, Time now, Effects &out)
 {
-    const bool forFormerIncarnation = message.to_ != VmId(0) && message.to_ != state.identity_.self_.id_;
-    if (forFormerIncarnation) {
-        // What was meant for a process that is gone, such as an answer or a loan, must not be taken for this one's.
+    const bool forPreviousIncarnation = message.to_ != VmId(0) && message.to_ != state.identity_.self_.id_;
+    if (forPreviousIncarnation) {
+        // A message addressed to a previous process at this address, such as an answer or a quota loan, must not be attributed to this process.
         return;
     }
     onPeerVersion(state, message, now, out);
@@ -95,7 +95,7 @@
     std::visit(handle, message.body_);
 }
 
-void takeIn(ProxyState &state, const Event &event, Effects &out)
+void applyProxyEvent(ProxyState &state, const Event &event, Effects &out)
 {
     const Time now = event.now_;
     const Overloaded handle{
@@ -111,13 +111,13 @@
         [&](const ControlAnswered &body) { onControlAnswered(state, body.answer_, now, out); },
         [&](const PlatformAnswered &body) { onPlatformAnswered(state, body.answer_, now, out); },
         [&](const DrainAsked &) { onDrainAsked(state, now, out); },
-        [&](const SessionEvent &) {}, // Of a process that serves sessions.
+        [&](const SessionEvent &) {}, // Handled only in a process that serves sessions.
     };
     std::visit(handle, event.body_);
 }
 
-/** The events of a process that serves database sessions. */
-void takeInSessions(ProxyState &state, const Event &event, Effects &out)
+/** Applies an event in a process that serves database sessions. */
+void applySessionEvent(ProxyState &state, const Event &event, Effects &out)
 {
     const Time now = event.now_;
     const Overloaded handle{
@@ -127,19 +127,19 @@
         [&](const ConnectionLost &body) { onMemberDisconnected(state, body, now, out); },
         [&](const DrainAsked &) { drainSessions(state, now, out); },
         [&](const SessionEvent &body) { onSessionEvent(state, body, now, out); },
-        [](const auto &) {}, // Of the other roles.
+        [](const auto &) {}, // Events of the entry and owner roles do not occur here.
     };
     std::visit(handle, event.body_);
     settleSessions(state, now, out);
 }
 
-/** Settles what the event stirred up: messages of the proxy to itself, and groups whose queue may move. */
-void settle(ProxyState &state, Time now, Effects &out)
+/** Processes the follow-up work of an event until none is left: messages of the proxy to itself, and groups whose queued requests may now be dispatched. */
+void processPendingWork(ProxyState &state, Time now, Effects &out)
 {
-    while (!state.local_.empty() || !state.dirty_.empty()) {
-        while (!state.local_.empty()) {
-            const PeerMessage message = std::move(state.local_.front());
-            state.local_.pop_front();
+    while (!state.localMessages_.empty() || !state.dirty_.empty()) {
+        while (!state.localMessages_.empty()) {
+            const PeerMessage message = std::move(state.localMessages_.front());
+            state.localMessages_.pop_front();
             onPeerMessage(state, message, now, out);
         }
         std::set<GroupId> dirty;
@@ -167,12 +167,12 @@
 {
     Effects out;
     if (state.sessions_) {
-        takeInSessions(state, event, out);
+        applySessionEvent(state, event, out);
         armWakeUp(state, out);
         return out;
     }
-    takeIn(state, event, out);
-    settle(state, event.now_, out);
+    applyProxyEvent(state, event, out);
+    processPendingWork(state, event.now_, out);
     if (state.drain_.draining_) {
         reviewDrain(state, event.now_, out);
     }
--- a/src/Reducer.h
+++ b/src/Reducer.h
@@ -1,7 +1,8 @@
 /** \file
- * Defines the reducer: every decision of figward is a step from one state and one event to the next state and its effects.
+ * Defines the reducer: a state transition function that maps the current state and one event to the next state and a list of effects.
  *
- * It has no I/O, threads, clock or global randomness, so that a run can be repeated exactly and thousands of proxies can be driven by one program.
+ * The reducer performs no I/O and uses no threads, clock or global randomness. A run can therefore be reproduced exactly, and one program can drive thousands
+ * of simulated proxies.
  */
 #pragma once
 
@@ -11,7 +12,7 @@
 
 namespace Figward {
 
-/** Takes \p event into \p state and returns what is to be done about it, in order. Times of events must not decrease. */
+/** Applies \p event to \p state and returns the resulting effects in the order in which they must be executed. Event times must not decrease. */
 Effects reduce(ProxyState &state, const Event &event);
 
 } // namespace Figward
--- a/src/Rendezvous.cpp
+++ b/src/Rendezvous.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-/** VMs by falling weight for one group, sorted only as far as they are looked at. */
+/** The VMs in descending order of weight for one group, sorted lazily as far as they are accessed. */
 class WeightOrder
 {
 public:
@@ -24,7 +24,7 @@
         std::make_heap(heap_.begin(), heap_.end(), lighter);
     }
 
-    /** Whether there is a VM at place \p i; asked for in order. */
+    /** Whether there is a VM at index \p i. Must be called with ascending indices. */
     bool has(std::size_t i)
     {
         if (i == sorted_.size() && !heap_.empty()) {
@@ -41,14 +41,14 @@
     }
 
 private:
-    using Weighed = std::pair<std::uint64_t, const VmInfo *>;
+    using WeightedVm = std::pair<std::uint64_t, const VmInfo *>;
 
-    static bool lighter(const Weighed &a, const Weighed &b)
+    static bool lighter(const WeightedVm &a, const WeightedVm &b)
     {
         return std::tie(a.first, a.second->id_) < std::tie(b.first, b.second->id_);
     }
 
-    std::vector<Weighed> heap_;
+    std::vector<WeightedVm> heap_;
     std::vector<const VmInfo *> sorted_;
 };
 
@@ -64,7 +64,7 @@
     WeightOrder order(group, vms);
     std::vector<VmInfo> owners;
     std::map<ZoneId, unsigned> perZone;
-    // Round r gives each zone its owner number r + 1, in order of weight: most groups look at a few VMs only.
+    // Round r gives each zone its owner number r + 1, in order of weight, so that only a few VMs have to be sorted for most groups.
     for (unsigned round = 0; owners.size() < count; ++round) {
         const std::size_t before = owners.size();
         for (std::size_t i = 0; owners.size() < count && order.has(i); ++i) {
--- a/src/Rendezvous.h
+++ b/src/Rendezvous.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines rendezvous hashing of groups over VMs: each pair has a weight, and the highest weights own the group.
+ * Defines rendezvous hashing of groups over VMs: each pair of group and VM has a weight, and the VMs with the highest weights own the group.
  */
 #pragma once
 
@@ -10,11 +10,11 @@
 
 namespace Figward {
 
-/** Weight of the pair (\p group, \p vm): equal in every process, and independent between pairs. */
+/** Returns the weight of the pair (\p group, \p vm). It is the same in every process; weights of different pairs are independent. */
 std::uint64_t rendezvousWeight(const GroupId &group, VmId vm);
 /**
- * The first \p count of \p vms for \p group, highest weight first, from as many availability zones as possible: a VM of a zone that has fewer owners
- * already goes before one of higher weight. VMs that leave are passed over.
+ * Returns up to \p count of \p vms as the owners of \p group, in order of rank, spread over as many availability zones as possible: a VM in a zone
+ * with fewer owners so far is preferred to one of higher weight. Leaving VMs are skipped.
  */
 std::vector<VmInfo> rendezvousOwners(const GroupId &group, absl::Span<const VmInfo> vms, unsigned count);
 
--- a/src/Status.cpp
+++ b/src/Status.cpp
@@ -13,10 +13,10 @@
 namespace {
 
 constexpr Duration reportInterval = std::chrono::seconds(2);
-constexpr Duration refreshInterval = std::chrono::minutes(5); // Without change, for a writer that is new.
+constexpr Duration refreshInterval = std::chrono::minutes(5); // Interval between unchanged reports, for a writer that has started since.
 constexpr Duration writeInterval = std::chrono::seconds(5);
-constexpr Duration timePerByte = std::chrono::milliseconds(1);
-constexpr Duration freshness = std::chrono::minutes(5); // Readers must see that the zone lives.
+constexpr Duration writeDelayPerByte = std::chrono::milliseconds(1);
+constexpr Duration maxWriteAge = std::chrono::minutes(5); // An unchanged report is rewritten after this time to show that the zone is alive.
 constexpr Duration callTimeout = std::chrono::seconds(2);
 constexpr unsigned quarters = 4;
 
@@ -34,20 +34,20 @@
     return writers.empty() ? std::nullopt : std::optional(writers.front());
 }
 
-void noteHistory(PrimaryHistory &history, const GroupView &view, Time now)
+void updateHistory(PrimaryHistory &history, const GroupView &view, Time now)
 {
-    const bool has = view.primary_.has_value();
-    const bool regained = has && !history.hadPrimary_;
+    const bool hasPrimary = view.primary_.has_value();
+    const bool regained = hasPrimary && !history.hadPrimary_;
     if (regained && history.term_ != Term()) {
         history.lastGap_ = now - history.since_;
     }
-    if (has && history.term_ != Term() && view.term_ != history.term_) {
+    if (hasPrimary && history.term_ != Term() && view.term_ != history.term_) {
         ++history.failovers_;
     }
-    if (has != history.hadPrimary_ || view.term_ != history.term_) {
+    if (hasPrimary != history.hadPrimary_ || view.term_ != history.term_) {
         history.since_ = now;
     }
-    history.hadPrimary_ = has;
+    history.hadPrimary_ = hasPrimary;
     history.term_ = view.term_;
 }
 
@@ -58,9 +58,9 @@
     const MemberView *primary = primaryOf(owner.view_);
     const bool comparable = primary != nullptr && primary->status_ && member.status_;
     if (comparable) {
-        const std::uint64_t head = primary->status_->log_.position_.value();
-        const std::uint64_t held = member.status_->log_.position_.value();
-        report.behind_ = head > held ? roundUp(head - held) : 0;
+        const std::uint64_t primaryPosition = primary->status_->log_.position_.value();
+        const std::uint64_t memberPosition = member.status_->log_.position_.value();
+        report.behind_ = primaryPosition > memberPosition ? roundUp(primaryPosition - memberPosition) : 0;
     }
     return report;
 }
@@ -114,30 +114,30 @@
     return zone;
 }
 
-/** VMs that are gone have nothing to report. */
-void forgetGone(ProxyState &state)
+/** Removes the reports of VMs that are no longer known. */
+void removeReportsOfUnknownVms(ProxyState &state)
 {
     const auto gone = [&](const auto &entry) { return findVm(state, entry.first) == nullptr; };
     const bool changed = std::erase_if(state.status_.collected_, gone) > 0;
     state.status_.changed_ = state.status_.changed_ || changed;
 }
 
-/** Pause after a write: the object of a large zone is written less often, so that its writer stays at a kilobyte a second. */
-Duration writePause(const StatusState &status)
+/** Returns the delay after a write. The object of a large zone is written less often, so that its writer stays at one kilobyte per second. */
+Duration writeDelay(const StatusState &status)
 {
-    return std::max(writeInterval, timePerByte * static_cast<std::int64_t>(status.writtenBytes_));
+    return std::max(writeInterval, writeDelayPerByte * static_cast<std::int64_t>(status.writtenBytes_));
 }
 
-/** Writes the zone's object if something changed or the last write is old, or first finds out which version it has. */
+/** Writes the zone's object if a report changed or the last write is too old. If the object's version is not known, it is read first. */
 void writeZone(ProxyState &state, Time now, Effects &out)
 {
     StatusState &status = state.status_;
-    const bool wanted = status.changed_ || now >= status.writtenAt_ + freshness;
-    const bool idle = !wanted || status.writing_ || now < status.writtenAt_ + writePause(status);
+    const bool needed = status.changed_ || now >= status.writtenAt_ + maxWriteAge;
+    const bool idle = !needed || status.callPending_ || now < status.writtenAt_ + writeDelay(status);
     if (idle || status.collected_.empty()) {
         return;
     }
-    status.writing_ = true;
+    status.callPending_ = true;
     status.writtenAt_ = now;
     const std::string path = statusPath(state.identity_.self_.zone_);
     if (!status.versionKnown_) {
@@ -161,10 +161,10 @@
 {
     std::erase_if(state.status_.history_, [&](const auto &entry) { return !state.owners_.contains(entry.first); });
     for (const auto &[group, owner] : state.owners_) {
-        noteHistory(state.status_.history_[group], owner.view_, now);
+        updateHistory(state.status_.history_[group], owner.view_, now);
     }
     sendReport(state, now, out);
-    forgetGone(state);
+    removeReportsOfUnknownVms(state);
     writeZone(state, now, out);
     state.timers_.arm(now + jittered(state, reportInterval), {TimerTopic::Status, {}, 0});
 }
@@ -183,21 +183,21 @@
 void onStatusAnswer(ProxyState &state, const PlatformAnswer &answer, Time now, Effects &out)
 {
     StatusState &status = state.status_;
-    status.writing_ = false;
+    status.callPending_ = false;
     switch (answer.status_) {
     case PlatformStatus::Ok:
     case PlatformStatus::NotFound:
         status.version_ = answer.version_;
         if (!status.versionKnown_) {
             status.versionKnown_ = true;
-            status.writtenAt_ = now - writePause(status);
+            status.writtenAt_ = now - writeDelay(status);
             writeZone(state, now, out);
         }
         return;
     case PlatformStatus::Conflict:
     case PlatformStatus::Unavailable:
     case PlatformStatus::Lost:
-        // Another VM wrote while lists differed, or the write may have taken effect: a report is state, so that the next one replaces it in any case.
+        // Either another VM wrote the object because the lists of VMs differed, or the write may have taken effect. The next report replaces it in either case.
         status.versionKnown_ = false;
         status.changed_ = true;
         return;
@@ -208,10 +208,10 @@
 {
     const VmInfo &self = state.identity_.self_;
     VmReport report{.id_ = self.id_, .zone_ = self.zone_, .address_ = self.address_, .version_ = state.configuration_.version_};
-    report.refusedVersion_ = state.sync_.refused_;
+    report.refusedVersion_ = state.sync_.refusedVersion_;
     report.refusal_ = state.sync_.refusal_;
     report.draining_ = state.drain_.draining_;
-    report.platformAway_ = state.membership_.platformAway_;
+    report.platformAway_ = state.membership_.platformUnavailable_;
     for (const auto &[group, owner] : state.owners_) {
         if (owner.rank_ == 0 && !owner.leaving_) {
             report.groups_.push_back(groupReport(state, owner, now));
--- a/src/StatusRendering.cpp
+++ b/src/StatusRendering.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr std::uint64_t oldReport = 900; // Seconds. A zone whose state does not change still writes every five minutes.
+constexpr std::uint64_t maxReportAge = 900; // Seconds. A zone whose state does not change still writes its report every five minutes.
 constexpr std::uint64_t minute = 60;
 constexpr std::uint64_t hour = 60 * minute;
 
@@ -22,18 +22,18 @@
     return seconds < 2 * hour ? absl::StrCat(seconds / minute, " min") : absl::StrCat(seconds / hour, " h");
 }
 
-/** " for 12 s"; empty when the start is not known. */
-std::string lasting(std::uint64_t since, std::uint64_t now)
+/** Returns the time since \p since in the form " for 12 s", or an empty string if the start is not known. */
+std::string describeDuration(std::uint64_t since, std::uint64_t now)
 {
     const bool known = since != 0 && since <= now;
     return known ? " for " + describeAge(now - since) : "";
 }
 
-/** All that is wrong, one text each. */
-class Complaints
+/** Collects the problems in the reports as texts. */
+class ProblemCollector
 {
 public:
-    Complaints(absl::Span<const ZoneReport> zones, std::uint64_t now)
+    ProblemCollector(absl::Span<const ZoneReport> zones, std::uint64_t now)
         : zones_(zones)
         , now_(now)
     {
@@ -54,11 +54,11 @@
 private:
     void reviewZone(const ZoneReport &zone)
     {
-        if (now_ > zone.writtenAt_ + oldReport) {
+        if (now_ > zone.writtenAt_ + maxReportAge) {
             texts_.push_back(absl::StrCat("zone ",
                                           zone.zone_.value(),
                                           ": no report",
-                                          lasting(zone.writtenAt_, now_),
+                                          describeDuration(zone.writtenAt_, now_),
                                           ". Its proxies serve on with what they know. Look whether the zone reaches the platform."));
         }
     }
@@ -95,7 +95,7 @@
             texts_.push_back(
                 absl::StrCat(name,
                              ": no primary",
-                             lasting(group.primarySince_, now_),
+                             describeDuration(group.primarySince_, now_),
                              ". Writes wait or are refused as not run, reads that replicas can serve go on. figward promotes a member as soon as it"
                              " reaches a majority of them. If this lasts, start the members that cannot be reached."));
         }
@@ -126,7 +126,7 @@
 std::string describeGroup(const GroupReport &group, std::uint64_t now)
 {
     std::string line = absl::StrCat("  ", group.id_.value(), ": term ", group.term_.value(), ", ");
-    absl::StrAppend(&line, group.primary_ ? "primary " + group.primary_->value() : "no primary", lasting(group.primarySince_, now));
+    absl::StrAppend(&line, group.primary_ ? "primary " + group.primary_->value() : "no primary", describeDuration(group.primarySince_, now));
     for (const MemberReport &member : group.members_) {
         if (group.primary_ != member.id_) {
             const std::string state = member.reachable_ ? absl::StrCat(member.behind_, " entries behind") : "unreachable";
@@ -147,7 +147,7 @@
     return absl::StrCat("  VM ", vm.address_, ": configuration ", vm.version_.value(), vm.draining_ ? ", draining" : "", "\n");
 }
 
-/** Whether the group cannot take writes: without a primary, or without a majority. */
+/** Whether the group cannot accept writes because it has no primary or no reachable majority. */
 bool isImpaired(const GroupReport &group)
 {
     const auto reachable = static_cast<std::size_t>(std::ranges::count_if(group.members_, &MemberReport::reachable_));
@@ -174,18 +174,18 @@
 std::vector<ServiceId> impairedServices(absl::Span<const ZoneReport> zones)
 {
     std::set<ServiceId> impaired = directlyImpaired(zones);
-    std::map<ServiceId, std::vector<ServiceId>> needs;
+    std::map<ServiceId, std::vector<ServiceId>> dependencies;
     for (const ZoneReport &zone : zones) {
         for (const ServiceDependency &dependency : zone.dependencies_) {
-            needs[dependency.id_] = dependency.dependsOn_;
+            dependencies[dependency.id_] = dependency.dependsOn_;
         }
     }
-    bool grew = true;
-    while (grew) {
-        grew = false;
-        for (const auto &[service, others] : needs) {
+    bool changed = true;
+    while (changed) {
+        changed = false;
+        for (const auto &[service, others] : dependencies) {
             const bool affected = std::ranges::any_of(others, [&](const ServiceId &other) { return impaired.contains(other); });
-            grew = (affected && impaired.insert(service).second) || grew;
+            changed = (affected && impaired.insert(service).second) || changed;
         }
     }
     return {impaired.begin(), impaired.end()};
@@ -194,10 +194,10 @@
 std::string renderStatus(absl::Span<const ZoneReport> zones, std::uint64_t nowSeconds)
 {
     std::string text;
-    const std::vector<std::string> complaints = Complaints(zones, nowSeconds).collect();
-    text += complaints.empty() ? "Nothing is wrong.\n" : absl::StrCat("Wrong (", complaints.size(), "):\n");
-    for (const std::string &complaint : complaints) {
-        text += "- " + complaint + "\n";
+    const std::vector<std::string> problems = ProblemCollector(zones, nowSeconds).collect();
+    text += problems.empty() ? "Nothing is wrong.\n" : absl::StrCat("Wrong (", problems.size(), "):\n");
+    for (const std::string &problem : problems) {
+        text += "- " + problem + "\n";
     }
     for (const ServiceId &service : impairedServices(zones)) {
         text += "- service " + service.value() + " is impaired: a group of it, or of a service that it depends on, cannot take writes.\n";
--- a/src/StatusReport.h
+++ b/src/StatusReport.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines the report that operators watch: what each VM knows of itself and of the groups that it is the first owner of, joined by availability zone.
+ * Defines the status report for operators: the state of each VM and of the groups of which it is the first owner, collected per availability zone.
  */
 #pragma once
 
@@ -21,7 +21,7 @@
     MemberId id_;
     bool reachable_ = false;
     bool leaving_ = false;
-    std::uint64_t behind_ = 0; ///< Log entries behind the primary, rounded up to a power of two: a report must not change with each write.
+    std::uint64_t behind_ = 0; ///< Log entries behind the primary, rounded up to a power of two so that the report does not change with each write.
     bool operator==(const MemberReport &) const = default;
 };
 
@@ -32,31 +32,31 @@
     ServiceId service_;
     Term term_;
     std::optional<MemberId> primary_;
-    std::uint64_t primarySince_ = 0; ///< Seconds since the Unix epoch; zero if not known. Without a primary: since when there is none.
-    std::uint64_t failovers_ = 0; ///< Changes of primary that this owner saw.
-    std::uint64_t lastGapMillis_ = 0; ///< How long the last one left the group without a primary.
-    unsigned queued_ = 0; ///< Requests that wait, rounded up to a power of two.
-    unsigned connections_ = 0; ///< Held by this owner, in quarters of its quota: 0 to 4, 5 when over it.
+    std::uint64_t primarySince_ = 0; ///< Seconds since the Unix epoch; zero if not known. If there is no primary, the time since when there is none.
+    std::uint64_t failovers_ = 0; ///< Changes of primary observed by this owner.
+    std::uint64_t lastGapMillis_ = 0; ///< Time without a primary during the last change.
+    unsigned queued_ = 0; ///< Queued requests, rounded up to a power of two.
+    unsigned connections_ = 0; ///< Connections held by this owner in quarters of its quota: 0 to 4, or 5 if above the quota.
     std::vector<MemberReport> members_;
     bool operator==(const GroupReport &) const = default;
 };
 
-/** One proxy. */
+/** Status of one proxy. */
 struct VmReport
 {
     VmId id_;
     ZoneId zone_;
     std::string address_;
     ConfigVersion version_;
-    ConfigVersion refusedVersion_; ///< Above version_ if a configuration could not be used.
+    ConfigVersion refusedVersion_; ///< Higher than version_ if a newer configuration was refused.
     std::string refusal_;
     bool draining_ = false;
     bool platformAway_ = false;
-    std::vector<GroupReport> groups_; ///< Of which it is the first owner.
+    std::vector<GroupReport> groups_; ///< Groups of which this proxy is the first owner.
     bool operator==(const VmReport &) const = default;
 };
 
-/** A service that needs others. */
+/** A service and the services that it depends on. */
 struct ServiceDependency
 {
     ServiceId id_;
@@ -64,31 +64,31 @@
     bool operator==(const ServiceDependency &) const = default;
 };
 
-/** What one availability zone reports; one object on the platform. */
+/** Report of one availability zone; stored as one object on the platform. */
 struct ZoneReport
 {
     ZoneId zone_;
     std::uint64_t writtenAt_ = 0; ///< Seconds since the Unix epoch.
     std::vector<VmReport> vms_;
-    std::vector<ServiceDependency> dependencies_; ///< Services that need none are left out.
+    std::vector<ServiceDependency> dependencies_; ///< Services without dependencies are omitted.
 };
 
-/** Path of the report of \p zone on the platform. */
+/** Returns the path of the report of \p zone on the platform. */
 std::string statusPath(const ZoneId &zone);
-/** JSON text of \p report. */
+/** Returns \p report as JSON text. */
 std::string encodeVmReport(const VmReport &report);
 /** \overload */
 std::string encodeZoneReport(const ZoneReport &report);
-/** Reads what encodeVmReport() wrote; InvalidArgument otherwise. */
+/** Decodes the output of encodeVmReport(); returns InvalidArgument for any other text. */
 absl::StatusOr<VmReport> decodeVmReport(std::string_view text);
-/** Reads what encodeZoneReport() wrote; InvalidArgument otherwise. */
+/** Decodes the output of encodeZoneReport(); returns InvalidArgument for any other text. */
 absl::StatusOr<ZoneReport> decodeZoneReport(std::string_view text);
 
-/** Services with a group that cannot take writes, and those that depend on one, ordered by name. */
+/** Returns the services with a group that cannot accept writes, and all services that depend on one of them, ordered by name. */
 std::vector<ServiceId> impairedServices(absl::Span<const ZoneReport> zones);
 /**
- * Text for a person: what is wrong, since when, what figward did and what to do about it; then the state in a line for each group and zone. Times are relative to
- * \p nowSeconds since the Unix epoch.
+ * Returns a readable text: first the problems, each with its duration, the behaviour of figward and the action to take; then the state of each zone, VM and
+ * group. \p nowSeconds is the current time in seconds since the Unix epoch, to which ages are relative.
  */
 std::string renderStatus(absl::Span<const ZoneReport> zones, std::uint64_t nowSeconds);
 
--- a/test/correctness/ConfigurationReachesEveryVm.cpp
+++ b/test/correctness/ConfigurationReachesEveryVm.cpp
@@ -8,7 +8,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/** Versions in force, VM by VM. */
+/** Returns the active configuration version of each running VM. */
 std::vector<std::uint64_t> versionsOf(Fleet &fleet)
 {
     std::vector<std::uint64_t> versions;
--- a/test/correctness/IdleQuotaIsLent.cpp
+++ b/test/correctness/IdleQuotaIsLent.cpp
@@ -10,7 +10,7 @@
 
 const GroupId ledger("group-0");
 
-/** A fleet of three VMs that own one group of 5 slots; reads are asked at one VM. */
+/** A fleet of three VMs that own one group with 5 slots. The tests send reads to single VMs. */
 class IdleQuotaIsLent : public testing::Test
 {
 protected:
@@ -24,7 +24,7 @@
         fleet_.run(seconds(8));
     }
 
-    /** The VM whose rank is \p rank. */
+    /** Returns the index of the VM that owns the group with rank \p rank. */
     std::size_t owner(unsigned rank)
     {
         for (std::size_t vm = 0; vm < fleet_.vms().size(); ++vm) {
@@ -46,7 +46,7 @@
         return usableQuota(ownerAt(vm), fleet_.now()).slots_.value();
     }
 
-    void askReads(std::size_t vm, unsigned count)
+    void sendReads(std::size_t vm, unsigned count)
     {
         for (unsigned i = 0; i < count; ++i) {
             Request read{.kind_ = RequestKind::Read, .service_ = ServiceId("service-0"), .group_ = ledger, .body_ = "get x", .timeout_ = seconds(2)};
@@ -63,7 +63,7 @@
 {
     const std::size_t busy = owner(2);
     ASSERT_EQ(slotsAt(busy), 1U);
-    askReads(busy, 40);
+    sendReads(busy, 40);
     fleet_.run(milliseconds(10));
     EXPECT_EQ(slotsAt(busy), 5U);
     EXPECT_EQ(slotsAt(owner(0)) + slotsAt(owner(1)), 0U);
@@ -73,10 +73,10 @@
 {
     const std::size_t busy = owner(2);
     const std::size_t lender = owner(0);
-    askReads(busy, 200);
+    sendReads(busy, 200);
     fleet_.run(milliseconds(20));
     ASSERT_EQ(slotsAt(lender), 0U);
-    askReads(lender, 10);
+    sendReads(lender, 10);
     fleet_.run(milliseconds(40));
     EXPECT_EQ(slotsAt(lender), 2U);
 }
@@ -84,7 +84,7 @@
 TEST_F(IdleQuotaIsLent, ComesBackWhenTheBorrowerIsDone)
 {
     const std::size_t busy = owner(2);
-    askReads(busy, 40);
+    sendReads(busy, 40);
     fleet_.run(seconds(2));
     EXPECT_EQ(slotsAt(busy), 1U);
     EXPECT_EQ(slotsAt(owner(0)), 2U);
@@ -94,7 +94,7 @@
 TEST_F(IdleQuotaIsLent, ComesBackWhenTheBorrowerDies)
 {
     const std::size_t busy = owner(2);
-    askReads(busy, 200);
+    sendReads(busy, 200);
     fleet_.run(milliseconds(20));
     const std::size_t lender = owner(0);
     ASSERT_EQ(slotsAt(lender), 0U);
--- a/test/correctness/StatusSaysWhatIsWrong.cpp
+++ b/test/correctness/StatusSaysWhatIsWrong.cpp
@@ -101,7 +101,7 @@
     fleet.run(seconds(30));
     const std::uint64_t before = fleet.platform().counts().puts_;
     fleet.run(seconds(300));
-    // Each zone shows once or twice in five minutes that it lives.
+    // Each of the three zones rewrites its report once or twice in five minutes to show that it is alive.
     EXPECT_LE(fleet.platform().counts().puts_ - before, 6U);
 }
 
--- a/test/error/ApplyResolvesLostAnswers.cpp
+++ b/test/error/ApplyResolvesLostAnswers.cpp
@@ -1,6 +1,6 @@
-// An operator applies a configuration and the platform's answer is lost, or another operator applies at the same moment.
-// The update may have taken effect before its answer was lost, and a blind retry would then report a conflict with itself, or be applied over
-// what the other operator wrote meanwhile. The attempt id in the manifest tells whose update it was, also after a later one replaced it.
+// An operator applies a configuration and the platform's answer is lost, or another operator applies one at the same time. The update may have taken effect
+// before its answer was lost; an unconditional retry would then report a conflict with itself or overwrite the other operator's update. The attempt id in
+// the manifest identifies the author of an update, even after a later update has replaced it.
 
 #include "ConfigurationApply.h"
 #include "support/Fleet.h"
@@ -13,7 +13,7 @@
 constexpr AttemptId ours{41};
 constexpr AttemptId theirs{42};
 
-/** A platform that answers at once, for one operator after another. */
+/** A platform that answers immediately and can be used by several operators in turn. */
 class OperatorsPlatform
 {
 public:
@@ -33,7 +33,7 @@
         return *step.result_;
     }
 
-    /** Runs \p apply up to its update of the manifest, which is returned and not made. */
+    /** Runs \p apply up to its update of the manifest, which is returned without being executed. */
     PlatformCall stepsUntilManifest(ConfigurationApply &apply)
     {
         ApplyStep step = stepApply(apply, std::nullopt);
@@ -86,7 +86,7 @@
     const ApplyStep readBack = stepApply(apply, lost(update));
     const ApplyStep again = stepApply(apply, platform.answer(*readBack.call_));
     ASSERT_EQ(apply.stage_, ConfigurationApply::Stage::WriteManifest);
-    platform.answer(update); // The first update, under way all the time, arrives before the second.
+    platform.answer(update); // The first update, delayed until now, arrives before the second.
     const ApplyResult result = platform.finish(apply, platform.answer(*again.call_));
     EXPECT_EQ(result.outcome_, ApplyOutcome::Accepted);
     EXPECT_EQ(result.version_, ConfigVersion(1));
--- a/test/error/ConfigurationFetchHurriesAfterACut.cpp
+++ b/test/error/ConfigurationFetchHurriesAfterACut.cpp
@@ -1,6 +1,6 @@
-// A VM hears of a version and is cut off before it has all parts: its fetch tries again at growing intervals, seconds in the end.
-// When the cut heals, callers in that zone would be served by the former version for that long. A message of a peer that has the version
-// shows that the peer can be reached, so that the VM must ask it at once.
+// A VM learns of a version and is cut off before it has fetched all parts; its fetch then retries at growing intervals of up to several seconds. After
+// connectivity returns, callers in that zone would be served by the previous version for that long. A message from a peer that has the version shows that the
+// peer is reachable, so the VM must fetch from it at once.
 
 #include "support/Fleet.h"
 
--- a/test/error/DrainRefusesLateWork.cpp
+++ b/test/error/DrainRefusesLateWork.cpp
@@ -1,6 +1,6 @@
-// A proxy is drained while others still forward work to it: they have not heard of the drain yet. If it ended at once, those requests would get no answer,
-// and their callers could not be told that nothing ran. It lingers, refuses them, and its peers send them elsewhere: no caller sees an error.
-// An owner that leaves keeps no connection: the others need the quota.
+// A proxy is drained while other proxies that have not learned of the drain still forward requests to it. If it exited at once, those requests would get no
+// answer, and their callers could not be told that nothing ran. It must stay for a while and refuse them, so that the entries forward them to other owners
+// and no caller sees an error. A leaving owner must not keep connections, because the other owners need the quota.
 
 #include "support/Fleet.h"
 
--- a/test/error/MembersChangeTwoAtOnce.cpp
+++ b/test/error/MembersChangeTwoAtOnce.cpp
@@ -1,5 +1,6 @@
-// An operator replaces a member of a group in one step. A write may be acknowledged by a and c, and after the change a new primary be chosen by b and d, which
-// never saw it: the caller would lose what it was told is done. The apply is refused with the group's name, and the version in force stays.
+// An operator replaces one member of a group by another in a single step, which removes one member and adds one. A write may have been acknowledged by
+// members a and c; after members a, b, c become a, b, d, a new primary may be chosen by b and d, which do not have the write, and it would be lost.
+// The apply must be refused with the group's name, and the accepted version must stay.
 #include "ConfigurationApply.h"
 #include "MemberChanges.h"
 #include "support/Fleet.h"
@@ -21,7 +22,7 @@
     return *step.result_;
 }
 
-/** The text with the last member of the first group under another name: another database. */
+/** Returns \p text with the last member of the first group renamed, which makes it a different database. */
 std::string withReplacedMember(std::string text)
 {
     const std::string end = R"(-2", "zone")";
@@ -43,12 +44,12 @@
 
 TEST(MembersChangeTwoAtOnce, oneMoreOrOneLessIsSafe)
 {
-    const Configuration former = *checkConfiguration(Figward::Testing::configurationText(1, 1)).configuration_;
-    Configuration more = former;
+    const Configuration previous = *checkConfiguration(Figward::Testing::configurationText(1, 1)).configuration_;
+    Configuration more = previous;
     more.groups_.begin()->second.members_.push_back({MemberId("new"), ZoneId("zone-0"), "10.9.9.9:5432", false});
-    EXPECT_TRUE(unsafeMemberChanges(former, more).empty());
-    EXPECT_TRUE(unsafeMemberChanges(more, former).empty());
-    Configuration moved = former;
+    EXPECT_TRUE(unsafeMemberChanges(previous, more).empty());
+    EXPECT_TRUE(unsafeMemberChanges(more, previous).empty());
+    Configuration moved = previous;
     moved.groups_.begin()->second.members_.front().address_ = "10.9.9.8:5432";
-    EXPECT_EQ(unsafeMemberChanges(former, moved).size(), 1U);
+    EXPECT_EQ(unsafeMemberChanges(previous, moved).size(), 1U);
 }
--- a/test/error/UnusableConfigurationIsRefusedWhole.cpp
+++ b/test/error/UnusableConfigurationIsRefusedWhole.cpp
@@ -1,6 +1,6 @@
-// A configuration is accepted on the platform that this proxy cannot use, say because it was checked by a newer release.
-// Taking the parts that it understands would put a configuration in force that no operator wrote. The proxy keeps the version it had and says why;
-// a later version that it can use comes into force as usual. A part that does not match its hash is as good as not received.
+// The platform has accepted a configuration that this proxy cannot use, for example because a newer release checked it. Applying only the parts that the proxy
+// understands would activate a configuration that no operator wrote. The proxy must keep its current version and report the reason; a later version that it
+// can use is activated as usual. A part that does not match its hash must be treated as not received.
 
 #include "support/Fleet.h"
 
@@ -11,7 +11,7 @@
 
 using std::chrono::seconds;
 
-/** Replaces the manifest on the platform by one whose only part is \p text. */
+/** Replaces the manifest on the platform by one whose only part has the hash of \p text; the content stored for that part is \p stored. */
 void forceManifest(Fleet &fleet, ConfigVersion version, const std::string &text, const std::string &stored)
 {
     const Manifest manifest{.version_ = version, .attempt_ = AttemptId(9), .parts_ = {{"service/service-0", contentHash(text)}}};
@@ -34,7 +34,7 @@
     for (const FleetVm &vm : fleet.vms()) {
         EXPECT_EQ(vm.state_.configuration_.version_, ConfigVersion(1));
         EXPECT_EQ(vm.state_.configuration_.services_.size(), 2U);
-        EXPECT_EQ(vm.state_.sync_.refused_, ConfigVersion(2));
+        EXPECT_EQ(vm.state_.sync_.refusedVersion_, ConfigVersion(2));
         EXPECT_THAT(vm.state_.sync_.refusal_, testing::HasSubstr("from_the_future"));
     }
     fleet.apply(configurationText(2, 3));
@@ -53,7 +53,7 @@
     fleet.run(seconds(5));
     for (const FleetVm &vm : fleet.vms()) {
         EXPECT_EQ(vm.state_.configuration_.version_, ConfigVersion(1));
-        EXPECT_EQ(vm.state_.sync_.refused_, ConfigVersion());
+        EXPECT_EQ(vm.state_.sync_.refusedVersion_, ConfigVersion());
     }
 }
 
--- a/test/error/VmStartsWhilePlatformIsDown.cpp
+++ b/test/error/VmStartsWhilePlatformIsDown.cpp
@@ -1,6 +1,6 @@
-// A VM is replaced while the platform is down: callers of the new VM would be refused as long as it knows neither the configuration nor the other VMs.
-// It asks the addresses in its settings; the one that answers sends its list, and the version on that message leads the new VM to the configuration.
-// The others learn of the new VM from that peer, since the platform's list does not show it.
+// A VM is replaced while the platform is down. The new VM would refuse its callers as long as it knows neither the configuration nor the other VMs. It
+// therefore contacts the seed addresses in its settings: a peer answers with its list of VMs, and the version in that message makes the new VM fetch the
+// configuration. The other VMs learn of the new one from that peer, since the platform's list does not contain it.
 
 #include "support/Fleet.h"
 
