--- a/src/ConfigurationSync.cpp
+++ b/src/ConfigurationSync.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-constexpr std::uint64_t reviewKey = 0; // The keys of fetch attempts are never zero.
-constexpr Duration reviewInterval = std::chrono::seconds(1);
+constexpr std::uint64_t watchCheckKey = 0; // The keys of fetch attempts are never zero.
+constexpr Duration watchCheckInterval = std::chrono::seconds(1);
 constexpr Duration watchTimeout = std::chrono::minutes(1); // A watch that ends without a change returns the whole manifest: 45 KB at 690 services.
 constexpr Duration firstReadTimeout = std::chrono::seconds(2);
 constexpr Duration minWatchDelay = std::chrono::milliseconds(500);
@@ -43,7 +43,7 @@
     callPlatform(state, PlatformUser::ConfigurationWatch, GetObject{manifestPath()}, firstReadTimeout, out);
 }
 
-void reviewWatch(ProxyState &state, Time now, Effects &out)
+void renewWatch(ProxyState &state, Time now, Effects &out)
 {
     ConfigurationSyncState &sync = state.sync_;
     if (sync.watching_ || now < sync.nextWatchAt_) {
@@ -81,7 +81,7 @@
     onWatchedManifest(state, answer, now, out);
     if (changed) {
         sync.watchFailures_ = 0;
-        reviewWatch(state, now, out);
+        renewWatch(state, now, out);
         return;
     }
     // Even after a successful answer without a change the next watch is delayed: otherwise a platform that ends watches early would be called continuously.
@@ -132,17 +132,17 @@
 {
     state.membership_.lastPeerMessageAt_ = now;
     readOnce(state, out);
-    state.timers_.arm(now + jittered(state, reviewInterval), {TimerTopic::Configuration, {}, reviewKey});
+    state.timers_.arm(now + jittered(state, watchCheckInterval), {TimerTopic::Configuration, {}, watchCheckKey});
 }
 
 void onConfigurationTimer(ProxyState &state, const TimerTag &tag, Time now, Effects &out)
 {
-    if (tag.key_ != reviewKey) {
+    if (tag.key_ != watchCheckKey) {
         retryFetch(state, tag.key_, now, out);
         return;
     }
-    reviewWatch(state, now, out);
-    state.timers_.arm(now + jittered(state, reviewInterval), {TimerTopic::Configuration, {}, reviewKey});
+    renewWatch(state, now, out);
+    state.timers_.arm(now + jittered(state, watchCheckInterval), {TimerTopic::Configuration, {}, watchCheckKey});
 }
 
 void onConfigurationAnswer(ProxyState &state, const OutstandingCall &call, const PlatformAnswer &answer, Time now, Effects &out)
--- a/src/Drain.cpp
+++ b/src/Drain.cpp
@@ -12,10 +12,10 @@
 namespace {
 
 constexpr std::uint64_t timeoutKey = 0;
-constexpr std::uint64_t lingerKey = 1;
-// Time for which the process stays to refuse requests that entries forwarded to it before they learned of the drain; a refusal makes the entry try another
+constexpr std::uint64_t minDrainTimeKey = 1;
+// Minimum time for which the process stays to refuse requests that entries forwarded to it before they learned of the drain; a refusal makes the entry try another
 // owner. If the process had exited already, such requests would stay unanswered: their callers would wait and could not be told that nothing ran.
-constexpr Duration linger = std::chrono::seconds(1);
+constexpr Duration minDrainTime = std::chrono::seconds(1);
 
 bool hasOwnedWork(const ProxyState &state)
 {
@@ -76,9 +76,9 @@
         return;
     }
     state.drain_.draining_ = true;
-    state.drain_.earliestExitAt_ = now + linger;
+    state.drain_.earliestExitAt_ = now + minDrainTime;
     out.push_back(WriteLog{LogNumber::DrainStarted, {}});
-    state.timers_.arm(now + linger, {TimerTopic::Drain, {}, lingerKey});
+    state.timers_.arm(now + minDrainTime, {TimerTopic::Drain, {}, minDrainTimeKey});
     state.timers_.arm(now + state.configuration_.policy_.drainTimeout_, {TimerTopic::Drain, {}, timeoutKey});
     announceLeaving(state, now, out);
     handOverTerms(state, out);
@@ -90,7 +90,7 @@
     if (state.drain_.rollingBack_) {
         rollBackOpenTransactions(state, out);
         if (!state.localMessages_.empty()) {
-            state.timers_.arm(now, {TimerTopic::Drain, {}, lingerKey}); // The messages of this proxy to itself are processed with the next event.
+            state.timers_.arm(now, {TimerTopic::Drain, {}, minDrainTimeKey}); // The messages of this proxy to itself are processed with the next event.
         }
     }
     const bool busy = !state.entry_.requests_.empty() || !state.entry_.transactions_.empty() || hasOwnedWork(state) || !state.localMessages_.empty();
--- a/src/Quota.cpp
+++ b/src/Quota.cpp
@@ -11,8 +11,8 @@
 namespace {
 
 constexpr std::uint32_t reserveDivisor = 16; // One connection in 16 stays unassigned, because an upstream may see a close later than the open that follows it.
-constexpr Duration increaseDelay =
-    std::chrono::seconds(2); // Longer than a change of the list of VMs takes to reach the other owners, and longer than a loan lasts.
+// Longer than a change of the list of VMs takes to reach the other owners, and longer than a loan lasts.
+constexpr Duration increaseDelay = std::chrono::seconds(2);
 
 /** Returns the share of \p total for \p rank among \p count owners; the first ranks share the remainder. */
 std::uint32_t shareOf(std::uint32_t total, unsigned rank, unsigned count)
