--- a/src/ConfigurationSync.h
+++ b/src/ConfigurationSync.h
@@ -43,8 +43,8 @@
 struct ConfigurationSyncState
 {
     Manifest manifest_; ///< Manifest of the active version; its version is zero until the first one is active.
-    std::deque<Manifest>
-        previousManifests_; ///< Manifests of previously active versions, newest first. A peer that has one of them is sent only the changes since.
+    /** Manifests of previously active versions, newest first. A peer that has one of them is sent only the changes since. */
+    std::deque<Manifest> previousManifests_;
     std::map<std::string, std::string> parts_; ///< Texts of the active parts, by hash.
     std::optional<ConfigurationFetch> fetch_;
     ConfigVersion refusedVersion_; ///< The highest version that this proxy cannot use.
--- a/src/Drain.cpp
+++ b/src/Drain.cpp
@@ -13,8 +13,8 @@
 
 constexpr std::uint64_t timeoutKey = 0;
 constexpr std::uint64_t minDrainTimeKey = 1;
-// Minimum time for which the process stays to refuse requests that entries forwarded to it before they learned of the drain; a refusal makes the entry try another
-// owner. If the process had exited already, such requests would stay unanswered: their callers would wait and could not be told that nothing ran.
+// Minimum time for which the process stays to refuse requests that entries forwarded to it before they learned of the drain; a refusal makes the entry try
+// another owner. If the process had exited already, such requests would stay unanswered: their callers would wait and could not be told that nothing ran.
 constexpr Duration minDrainTime = std::chrono::seconds(1);
 
 bool hasOwnedWork(const ProxyState &state)
--- a/src/Event.h
+++ b/src/Event.h
@@ -16,8 +16,8 @@
 /** First event of a process. */
 struct Started
 {
-    std::uint64_t unixSeconds_ =
-        0; ///< Wall-clock time of this event in seconds since the Unix epoch; zero if not known. Used only for the age of keys and for reports.
+    /** Wall-clock time of this event in seconds since the Unix epoch; zero if not known. Used only for the age of keys and for reports. */
+    std::uint64_t unixSeconds_ = 0;
 };
 /** The time requested by ArmWakeUp has been reached. */
 struct WakeUp
--- a/src/Platform.h
+++ b/src/Platform.h
@@ -27,7 +27,7 @@
 {
     std::string path_;
 };
-/** Replace an object if it has the expected version; zero creates the object. A manifest written this way contains the attempt id of its author. */
+/** Replace an object if it has the expected version; zero creates it. Manifests and group records contain the attempt id of their author. */
 struct PutObject
 {
     std::string path_;
