--- a/src/CommandDemo.cpp
+++ b/src/CommandDemo.cpp
@@ -63,7 +63,7 @@
 
 void demoOnPlatform()
 {
-    const absl::StatusOr<Platform::PlatformDemoResult> result = Platform::playPlatformDemo();
+    const absl::StatusOr<Platform::PlatformDemoResult> result = Platform::runPlatformDemo();
     if (!result.ok()) {
         std::cerr << "the demonstration could not be run: " << result.status().ToString() << '\n';
         exitWith(ExitCode::Failure);
--- a/src/ConfigurationDelay.cpp
+++ b/src/ConfigurationDelay.cpp
@@ -47,9 +47,9 @@
         return;
     }
     sessions.delay_.behindLogged_ = true;
-    const auto hasIt = [&](const auto &entry) { return isFresh(entry.second, now) && entry.second.configuration_ == sessions.newestHeard_; };
+    const auto hasIt = [&](const auto &entry) { return wasHeardRecently(entry.second, now) && entry.second.configuration_ == sessions.newestReported_; };
     out.emplace_back(WriteLog{LogNumber::ConfigurationBehind,
-                              {{"version", absl::StrCat(sessions.newestHeard_.value())},
+                              {{"version", absl::StrCat(sessions.newestReported_.value())},
                                {"mine", absl::StrCat(versionOf(sessions).value())},
                                {"ms", absl::StrCat(toMillis(*behind))},
                                {"vms", absl::StrCat(std::ranges::count_if(sessions.peers_, hasIt))},
@@ -86,7 +86,7 @@
 void recordActiveVersion(SessionServiceState &sessions, Time now)
 {
     sessions.delay_.behindLogged_ = false;
-    sessions.delay_.behindSince_ = versionOf(sessions) < sessions.newestHeard_ ? std::optional(now) : std::nullopt;
+    sessions.delay_.behindSince_ = versionOf(sessions) < sessions.newestReported_ ? std::optional(now) : std::nullopt;
 }
 
 void logConfigurationDelay(SessionServiceState &sessions, Time now, Effects &out)
--- a/src/ConfigurationFetching.cpp
+++ b/src/ConfigurationFetching.cpp
@@ -50,7 +50,7 @@
 void startAttempt(ProxyState &state, Time now, Effects &out)
 {
     ConfigurationFetch &fetch = *state.sync_.fetch_;
-    fetch.attemptKey_ = takeId(state);
+    fetch.attemptKey_ = allocateId(state);
     fetch.attemptStartedAt_ = now;
     const Duration timeout = std::min(maxAttemptTimeout, minAttemptTimeout * (1U << std::min(fetch.failedAttempts_, 4U)));
     state.timers_.arm(now + jittered(state, timeout), {TimerTopic::Configuration, {}, fetch.attemptKey_});
@@ -134,7 +134,7 @@
     }
     checked.configuration_->version_ = manifest.version_;
     storeManifest(state.sync_, manifest, std::move(texts));
-    adoptConfiguration(state, std::move(*checked.configuration_), now, out);
+    activateConfiguration(state, std::move(*checked.configuration_), now, out);
 }
 
 void addAlternative(ConfigurationFetch &fetch, const std::optional<VmInfo> &source)
--- a/src/ConfigurationReads.cpp
+++ b/src/ConfigurationReads.cpp
@@ -100,12 +100,14 @@
     const ConfigurationAttempts &attempts = sessions.schedule_.configurationAttempts_;
     const PeerVm *best = nullptr;
     const auto isBetter = [&](const PeerVm &a, const PeerVm &b) {
-        const auto key = [&](const PeerVm &peer) { return std::tuple(countAttemptsAt(attempts, peer.vm_.address_) == 0, peer.configuration_, peer.heard_); };
+        const auto key = [&](const PeerVm &peer) {
+            return std::tuple(countAttemptsAt(attempts, peer.vm_.address_) == 0, peer.configuration_, peer.lastReceivedAt_);
+        };
         return key(a) > key(b);
     };
     for (const auto &[name, peer] : sessions.peers_) {
         const bool isNewer = versionOf(sessions) < peer.configuration_;
-        if (isNewer && isFresh(peer, now) && now >= peer.configurationAfter_ && mayReadFrom(attempts, peer.vm_.address_, now)
+        if (isNewer && wasHeardRecently(peer, now) && now >= peer.configurationAfter_ && mayReadFrom(attempts, peer.vm_.address_, now)
             && (best == nullptr || isBetter(peer, *best))) {
             best = &peer;
         }
@@ -177,13 +179,13 @@
  */
 void recordNoChange(SessionServiceState &sessions, std::uint64_t revision, Time now)
 {
-    std::optional<QuietRevision> &noChange = sessions.quietRevision_;
+    std::optional<UnchangedRevision> &noChange = sessions.unchangedRevision_;
     if (noChange && now - noChange->heardAt_ >= noChangeConfirmTime) {
         sessions.configurationRevision_ = std::max(sessions.configurationRevision_, noChange->revision_);
         noChange.reset();
     }
     if (!noChange) {
-        noChange = QuietRevision{revision, now};
+        noChange = UnchangedRevision{revision, now};
     }
 }
 
@@ -211,7 +213,7 @@
 }
 
 /** Logs a read that returned a newer configuration, failed, or took long. A watch that ends without a change is not logged. */
-void logRead(const SessionServiceState &sessions, const StoreCallUnderWay &call, const StoreAnswered &answer, Time now, Effects &out)
+void logRead(const SessionServiceState &sessions, const PendingStoreCall &call, const StoreAnswered &answer, Time now, Effects &out)
 {
     const auto *watch = std::get_if<WatchConfiguration>(&call.request_);
     const auto *read = std::get_if<ConfigurationRead>(&answer.content_);
@@ -243,7 +245,7 @@
     }
 }
 
-void onReadFailed(ProxyState &state, const StoreCallUnderWay &call, StoreResult result, Time now)
+void onReadFailed(ProxyState &state, const PendingStoreCall &call, StoreResult result, Time now)
 {
     SessionServiceState &sessions = *state.sessions_;
     StoreSchedule &schedule = sessions.schedule_;
@@ -257,7 +259,7 @@
     }
     if (fromEvents && (result == StoreResult::HistoryGone || result == StoreResult::Unreadable)) {
         sessions.configurationRevision_ = 0; // Set again by a complete read, which is made at once.
-        sessions.quietRevision_.reset();
+        sessions.unchangedRevision_.reset();
         schedule.configurationAt_ = now;
     } else if (result == StoreResult::Unreadable) {
         schedule.configurationAt_ = now + unreadableRetryDelay;
@@ -305,10 +307,10 @@
 void recordNewerVersion(SessionServiceState &sessions, const VmHeartbeat &heartbeat, Time now, Effects &out)
 {
     recordBehind(sessions, now);
-    if (heartbeat.configuration_ <= sessions.newestHeard_) {
+    if (heartbeat.configuration_ <= sessions.newestReported_) {
         return;
     }
-    sessions.newestHeard_ = heartbeat.configuration_;
+    sessions.newestReported_ = heartbeat.configuration_;
     out.emplace_back(WriteLog{
         LogNumber::ConfigurationNewerHeard,
         {{"version", absl::StrCat(heartbeat.configuration_.value())}, {"from", heartbeat.name_}, {"mine", absl::StrCat(versionOf(sessions).value())}}});
@@ -319,7 +321,7 @@
 void reviewConfigurationReads(ProxyState &state, Time now, Effects &out)
 {
     SessionServiceState &sessions = *state.sessions_;
-    if (versionOf(sessions) < sessions.newestHeard_) {
+    if (versionOf(sessions) < sessions.newestReported_) {
         readNewer(state, now, out);
     }
     if (isReadDue(state, now)) {
@@ -329,7 +331,7 @@
     logConfigurationDelay(sessions, now, out);
 }
 
-void onConfigurationAnswered(ProxyState &state, const StoreCallUnderWay &call, const StoreAnswered &answer, Time now, Effects &out)
+void onConfigurationAnswered(ProxyState &state, const PendingStoreCall &call, const StoreAnswered &answer, Time now, Effects &out)
 {
     SessionServiceState &sessions = *state.sessions_;
     endAttempt(sessions.schedule_, answer, now);
--- a/src/ConfigurationReads.h
+++ b/src/ConfigurationReads.h
@@ -16,7 +16,7 @@
 /** Makes all configuration calls that are due. */
 void reviewConfigurationReads(ProxyState &state, Time now, Effects &out);
 /** Processes the result of a read, a check or a watch of the configuration. */
-void onConfigurationAnswered(ProxyState &state, const StoreCallUnderWay &call, const StoreAnswered &answer, Time now, Effects &out);
+void onConfigurationAnswered(ProxyState &state, const PendingStoreCall &call, const StoreAnswered &answer, Time now, Effects &out);
 /** Records that the answer to a call has begun to arrive. */
 void onStoreAnswerBegan(ProxyState &state, const StoreAnswerBegan &began, Time now);
 /** Processes another VM's statement of the configuration it has and of the time at which any VM last compared that one with the store's. */
--- a/src/ConfigurationSync.cpp
+++ b/src/ConfigurationSync.cpp
@@ -204,7 +204,7 @@
     }
 }
 
-void adoptConfiguration(ProxyState &state, Configuration configuration, Time now, Effects &out)
+void activateConfiguration(ProxyState &state, Configuration configuration, Time now, Effects &out)
 {
     if (configuration.version_ <= state.configuration_.version_) {
         return;
--- a/src/ConfigurationSync.h
+++ b/src/ConfigurationSync.h
@@ -68,6 +68,6 @@
 void onPartsRequest(ProxyState &state, const PeerMessage &message, const PartsRequest &request, Time now, Effects &out);
 void onPartsNews(ProxyState &state, const PeerMessage &message, const PartsNews &news, Time now, Effects &out);
 /** Activates \p configuration if its version is higher than the active one. */
-void adoptConfiguration(ProxyState &state, Configuration configuration, Time now, Effects &out);
+void activateConfiguration(ProxyState &state, Configuration configuration, Time now, Effects &out);
 
 } // namespace Figward
--- a/src/ConnectionPlan.cpp
+++ b/src/ConnectionPlan.cpp
@@ -54,16 +54,18 @@
 
 ConnectionPlan planConnections(const ConnectionDemand &demand)
 {
-    if (demand.mayVisit_ && areConnectionsScarce(demand.limit_, demand.vms_)) {
-        return {
-            demand.resident_ ? 1U : 0U, std::min(maxTemporary, std::max(1U, demand.limit_)), visitRest(demand.limit_, demand.vms_, demand.perSecond_), true};
+    if (demand.allowsTemporary_ && areConnectionsScarce(demand.limit_, demand.vms_)) {
+        return {demand.persistent_ ? 1U : 0U,
+                std::min(maxTemporary, std::max(1U, demand.limit_)),
+                temporaryIdleTimeout(demand.limit_, demand.vms_, demand.perSecond_),
+                true};
     }
     const unsigned share = std::max(1U, demand.limit_ / std::max(1U, demand.vms_));
-    const unsigned maxIdle = demand.leavesRoom_ ? std::max(1U, share / 2) : share;
+    const unsigned maxIdle = demand.keepsReserve_ ? std::max(1U, share / 2) : share;
     return {maxIdle, share, reserveIdleTimeout};
 }
 
-Duration visitRest(unsigned limit, unsigned vms, double perSecond)
+Duration temporaryIdleTimeout(unsigned limit, unsigned vms, double perSecond)
 {
     // With uses at random times, a fraction 1 - exp(-rate * idle time) of the VMs holds a connection at any moment.
     const double reuse = std::min(maxReuse, maxIdleFraction * limit / std::max(1U, vms));
@@ -72,7 +74,7 @@
     return std::chrono::duration_cast<Duration>(std::chrono::duration<double>(std::min(idleSeconds, maxSeconds)));
 }
 
-void noteUse(UseRate &rate, Time now)
+void recordUse(UseRate &rate, Time now)
 {
     rate.perSecond_ = usesPerSecond(rate, now) + 1 / useDecaySeconds;
     rate.at_ = now;
@@ -83,22 +85,28 @@
     return rate.perSecond_ * std::exp(-secondsBetween(rate.at_, now) / useDecaySeconds);
 }
 
-unsigned mostResidents(unsigned limit)
+unsigned maxPersistentConnections(unsigned limit)
 {
     return limit / 2;
 }
 
-std::optional<MemberId> homeOf(const HomeSeeker &vm, absl::Span<const HomeCandidate> members)
+std::optional<MemberId> assignedMember(const VmLocation &vm, absl::Span<const MemberLocation> members)
 {
-    const auto rank = [&](const HomeCandidate &member) { return std::pair(member.zone_ == vm.zone_, assignmentWeight(member.member_, vm.vm_)); };
+    const auto rank = [&](const MemberLocation &member) { return std::pair(member.zone_ == vm.zone_, assignmentWeight(member.member_, vm.vm_)); };
     const auto best = std::ranges::max_element(members, {}, rank);
     return best == members.end() ? std::nullopt : std::optional(best->member_);
 }
 
-bool isResident(const HomeSeeker &self, const MemberId &assigned, absl::Span<const HomeSeeker> others, absl::Span<const HomeCandidate> members, unsigned maxVms)
+bool keepsPersistentConnection(const VmLocation &self,
+                               const MemberId &assigned,
+                               absl::Span<const VmLocation> others,
+                               absl::Span<const MemberLocation> members,
+                               unsigned maxVms)
 {
     const std::uint64_t weight = assignmentWeight(assigned, self.vm_);
-    const auto ranksHigher = [&](const HomeSeeker &other) { return assignmentWeight(assigned, other.vm_) > weight && homeOf(other, members) == assigned; };
+    const auto ranksHigher = [&](const VmLocation &other) {
+        return assignmentWeight(assigned, other.vm_) > weight && assignedMember(other, members) == assigned;
+    };
     return static_cast<unsigned>(std::ranges::count_if(others, ranksHigher)) < maxVms;
 }
 
--- a/src/ConnectionPlan.h
+++ b/src/ConnectionPlan.h
@@ -21,10 +21,10 @@
 /** Limits on the connections of this VM to one member. */
 struct ConnectionPlan
 {
-    unsigned resting_ = 0; ///< Number that may stay open while no statement uses them.
-    unsigned most_ = 0; ///< Number that may be open while statements wait.
-    Duration restTime_{}; ///< Idle time after which a connection above the first limit is closed.
-    bool visits_ = false; ///< This VM has no share of the member's connections; all but persistent ones are temporary.
+    unsigned maxIdle_ = 0; ///< Number that may stay open while no statement uses them.
+    unsigned maxOpen_ = 0; ///< Number that may be open while statements wait.
+    Duration idleTimeout_{}; ///< Idle time after which a connection above the first limit is closed.
+    bool temporary_ = false; ///< This VM has no share of the member's connections; all but persistent ones are temporary.
 };
 
 /** Rate at which this VM uses a member, as an exponentially decaying average over several seconds. */
@@ -34,7 +34,7 @@
     Time at_;
 };
 /** Records that a statement was sent to the member. */
-void noteUse(UseRate &rate, Time now);
+void recordUse(UseRate &rate, Time now);
 /** The rate at \p now. */
 double usesPerSecond(const UseRate &rate, Time now);
 
@@ -43,10 +43,10 @@
 {
     unsigned limit_ = 0; ///< Maximum number of connections that the member accepts from all VMs together.
     unsigned vms_ = 1; ///< Number of VMs that share them.
-    bool resident_ = false; ///< This VM may keep a persistent connection to the member although connections are scarce.
+    bool persistent_ = false; ///< This VM may keep a persistent connection to the member although connections are scarce.
     double perSecond_ = 0; ///< Rate at which this VM uses the member; see UseRate.
-    bool mayVisit_ = true; ///< If false, each VM has a share of at least one connection, however many VMs there are.
-    bool leavesRoom_ = true; ///< Half of the share is a reserve; if false, the whole share may stay open while idle.
+    bool allowsTemporary_ = true; ///< If false, each VM has a share of at least one connection, however many VMs there are.
+    bool keepsReserve_ = true; ///< Half of the share is a reserve; if false, the whole share may stay open while idle.
 };
 
 /** Plans the connections to one member. */
@@ -59,37 +59,37 @@
  * Idle time after which a temporary connection is closed. It assumes that all VMs use the member as often as this one; they then hold on average only as many
  * idle connections as fit beside the persistent ones, however many VMs there are. With a fixed time, a larger number of VMs would use up all connections.
  */
-Duration visitRest(unsigned limit, unsigned vms, double perSecond);
+Duration temporaryIdleTimeout(unsigned limit, unsigned vms, double perSecond);
 
 /** A member to which VMs may keep a persistent connection. */
-struct HomeCandidate
+struct MemberLocation
 {
     MemberId member_;
     ZoneId zone_;
 };
 /** A VM to which a member is assigned. */
-struct HomeSeeker
+struct VmLocation
 {
     VmId vm_;
     ZoneId zone_;
 };
 
 /** Member to which \p vm is assigned: one of its own zone if there is one, otherwise any, chosen by rendezvous hashing; absent if there are no members. */
-std::optional<MemberId> homeOf(const HomeSeeker &vm, absl::Span<const HomeCandidate> members);
+std::optional<MemberId> assignedMember(const VmLocation &vm, absl::Span<const MemberLocation> members);
 
 /**
  * Maximum number of persistent connections to a member with \p limit connections: half of them. The other half is for temporary connections, for transactions,
  * which are idle between their statements, and for VMs that start.
  */
-unsigned mostResidents(unsigned limit);
+unsigned maxPersistentConnections(unsigned limit);
 /**
  * Whether \p self keeps a persistent connection to \p assigned, the member assigned to it among \p members. The \p maxVms VMs with the highest weights do. \p
  * others are the other known VMs.
  */
-bool isResident(const HomeSeeker &self,
-                const MemberId &assigned,
-                absl::Span<const HomeSeeker> others,
-                absl::Span<const HomeCandidate> members,
-                unsigned maxVms);
+bool keepsPersistentConnection(const VmLocation &self,
+                               const MemberId &assigned,
+                               absl::Span<const VmLocation> others,
+                               absl::Span<const MemberLocation> members,
+                               unsigned maxVms);
 
 } // namespace Figward
--- a/src/ConnectionPool.cpp
+++ b/src/ConnectionPool.cpp
@@ -42,7 +42,7 @@
 
 void open(ProxyState &state, GroupOwner &owner, const MemberView &member, Time now, Effects &out)
 {
-    const ConnectionId id(takeId(state));
+    const ConnectionId id(allocateId(state));
     owner.pool_.connections_[id] = {.member_ = member.config_.id_, .use_ = ConnectionUse::Opening, .since_ = now};
     state.connections_[id] = owner.config_.id_;
     out.push_back(OpenConnection{id, member.config_.id_, member.config_.address_});
@@ -64,7 +64,7 @@
     if (!quotaLeft(owner, now)) {
         const std::optional<ConnectionId> spare = longestIdleToOtherMember(owner.pool_, member);
         if (!spare) {
-            onQuotaShort(state, owner, now, out);
+            onQuotaShortage(state, owner, now, out);
             return;
         }
         closeConnection(state, owner, *spare, out);
--- a/src/ConnectionSharing.cpp
+++ b/src/ConnectionSharing.cpp
@@ -13,7 +13,7 @@
 
 bool sharesConnections(const PeerVm &peer, Time now)
 {
-    return peer.heard_ && now - *peer.heard_ < sharingTimeout + (peer.itsInterval_ - heartbeatInterval);
+    return peer.lastReceivedAt_ && now - *peer.lastReceivedAt_ < sharingTimeout + (peer.sendInterval_ - heartbeatInterval);
 }
 
 unsigned connectionLimit(const SessionServiceState &sessions, const ServiceId &service)
@@ -26,13 +26,13 @@
 bool usesTemporaryConnections(const SessionServiceState &sessions, const SessionGroup &group)
 {
     const bool scarce = sessions.configuration_ && areConnectionsScarce(connectionLimit(sessions, group.id_), sessions.entryVms_);
-    return scarce && sessions.identity_.policies_.visits_;
+    return scarce && sessions.identity_.policies_.usesTemporaryConnections_;
 }
 
 /** Replicas to which VMs may be assigned. The primary is excluded, so that its slots and connections are available for statements that only it may run. */
-std::vector<HomeCandidate> assignableReplicas(const SessionServiceState &sessions, const SessionGroup &group)
+std::vector<MemberLocation> assignableReplicas(const SessionServiceState &sessions, const SessionGroup &group)
 {
-    std::vector<HomeCandidate> candidates;
+    std::vector<MemberLocation> candidates;
     for (const MemberId &id : group.members_) {
         const auto member = sessions.members_.find(id);
         if (member != sessions.members_.end() && !member->second.entry_.leaving_ && id != group.authority_.primary_) {
@@ -42,9 +42,9 @@
     return candidates;
 }
 
-std::vector<HomeSeeker> otherVms(const SessionServiceState &sessions, Time now)
+std::vector<VmLocation> otherVms(const SessionServiceState &sessions, Time now)
 {
-    std::vector<HomeSeeker> others;
+    std::vector<VmLocation> others;
     for (const auto &[name, peer] : sessions.peers_) {
         if (sharesConnections(peer, now)) {
             others.push_back({peer.vm_.incarnation_, peer.vm_.zone_});
@@ -64,7 +64,7 @@
     return count;
 }
 
-bool asksPrimary(const SessionServiceState &sessions, const SessionGroup &group)
+bool probesPrimary(const SessionServiceState &sessions, const SessionGroup &group)
 {
     return group.leader_ || !usesTemporaryConnections(sessions, group);
 }
@@ -76,37 +76,37 @@
     ConnectionDemand demand;
     demand.limit_ = connectionLimit(sessions, member.entry_.service_);
     demand.vms_ = sessions.entryVms_;
-    demand.resident_ = known && group->second.residences_.contains(member.entry_.id_);
+    demand.persistent_ = known && group->second.persistentMembers_.contains(member.entry_.id_);
     demand.perSecond_ = usesPerSecond(member.use_, now);
-    demand.mayVisit_ = sessions.identity_.policies_.visits_;
-    demand.leavesRoom_ = sessions.identity_.policies_.leavesRoom_;
+    demand.allowsTemporary_ = sessions.identity_.policies_.usesTemporaryConnections_;
+    demand.keepsReserve_ = sessions.identity_.policies_.keepsReserve_;
     return planConnections(demand);
 }
 
-void reviewResidences(const SessionServiceState &sessions, SessionGroup &group, Time now)
+void reviewPersistentMembers(const SessionServiceState &sessions, SessionGroup &group, Time now)
 {
-    if (now < group.residenceReviewAt_) {
+    if (now < group.persistentMembersReviewAt_) {
         return;
     }
-    group.residenceReviewAt_ = now + assignmentInterval;
-    group.residences_.clear();
+    group.persistentMembersReviewAt_ = now + assignmentInterval;
+    group.persistentMembers_.clear();
     if (!usesTemporaryConnections(sessions, group)) {
         return; // Each VM has a share of each member's connections.
     }
-    const HomeSeeker self{sessions.identity_.vm_.incarnation_, sessions.identity_.vm_.zone_};
-    const std::vector<HomeSeeker> others = otherVms(sessions, now);
+    const VmLocation self{sessions.identity_.vm_.incarnation_, sessions.identity_.vm_.zone_};
+    const std::vector<VmLocation> others = otherVms(sessions, now);
     const unsigned limit = connectionLimit(sessions, group.id_);
-    const std::vector<HomeCandidate> replicas = assignableReplicas(sessions, group);
-    const std::optional<MemberId> assigned = homeOf(self, replicas);
-    if (assigned && isResident(self, *assigned, others, replicas, mostResidents(limit))) {
-        group.residences_.insert(*assigned);
+    const std::vector<MemberLocation> replicas = assignableReplicas(sessions, group);
+    const std::optional<MemberId> assigned = assignedMember(self, replicas);
+    if (assigned && keepsPersistentConnection(self, *assigned, others, replicas, maxPersistentConnections(limit))) {
+        group.persistentMembers_.insert(*assigned);
     }
     if (group.authority_.primary_ == MemberId()) {
         return; // The primary is revoked, and its replacement is not known yet.
     }
-    const std::vector<HomeCandidate> primary{{group.authority_.primary_, ZoneId()}};
-    if (isResident(self, group.authority_.primary_, others, primary, mostResidents(limit))) {
-        group.residences_.insert(group.authority_.primary_);
+    const std::vector<MemberLocation> primary{{group.authority_.primary_, ZoneId()}};
+    if (keepsPersistentConnection(self, group.authority_.primary_, others, primary, maxPersistentConnections(limit))) {
+        group.persistentMembers_.insert(group.authority_.primary_);
     }
 }
 
--- a/src/ConnectionSharing.h
+++ b/src/ConnectionSharing.h
@@ -11,12 +11,12 @@
 /** The plan for the connections to \p member at \p now. */
 ConnectionPlan planFor(const SessionServiceState &sessions, const MemberState &member, Time now);
 /** Chooses again, if that is due, the members to which this VM keeps a persistent connection. */
-void reviewResidences(const SessionServiceState &sessions, SessionGroup &group, Time now);
+void reviewPersistentMembers(const SessionServiceState &sessions, SessionGroup &group, Time now);
 /**
  * Whether this VM polls the group's primary to learn whether it is alive. When connections are scarce, only the leader does so, on behalf of all VMs: one
  * connection per VM for that purpose would take up all connections of a member.
  */
-bool asksPrimary(const SessionServiceState &sessions, const SessionGroup &group);
+bool probesPrimary(const SessionServiceState &sessions, const SessionGroup &group);
 /** Number of VMs that share the members' connections: this one, and those from which a heartbeat was received recently. */
 unsigned countEntryVms(const SessionServiceState &sessions, Time now);
 
--- a/src/CutOff.cpp
+++ b/src/CutOff.cpp
@@ -24,14 +24,14 @@
 {
     return std::ranges::any_of(sessions.members_, [&](const auto &entry) {
         const MemberState &member = entry.second;
-        return member.entry_.zone_ != sessions.identity_.vm_.zone_ && member.heard_ && now - *member.heard_ < lossTimeout;
+        return member.entry_.zone_ != sessions.identity_.vm_.zone_ && member.lastAnsweredAt_ && now - *member.lastAnsweredAt_ < lossTimeout;
     });
 }
 
 /** Whether the VM counts in a split: it was heard not long ago, or it is listed in the store and has never been heard. */
 bool isCounted(const PeerVm &peer, Time now)
 {
-    return !peer.leaving_ && (peer.heard_ ? now - *peer.heard_ < recentlyHeardTime : peer.registered_);
+    return !peer.leaving_ && (peer.lastReceivedAt_ ? now - *peer.lastReceivedAt_ < recentlyHeardTime : peer.registered_);
 }
 
 /**
@@ -49,7 +49,7 @@
         }
         if (peer.vm_.zone_ == sessions.identity_.vm_.zone_) {
             ++inside;
-        } else if (peer.heard_ && now - *peer.heard_ < lossTimeout) {
+        } else if (peer.lastReceivedAt_ && now - *peer.lastReceivedAt_ < lossTimeout) {
             return false;
         } else {
             ++outside;
@@ -75,21 +75,21 @@
 /** Whether all groups that have members are served by other VMs but not by this one. */
 bool areAllServedElsewhere(const SessionServiceState &sessions, Time now)
 {
-    const auto served = [&](const auto &entry) { return entry.second.members_.empty() || isServedElsewhere(sessions, entry.second, now); };
+    const auto served = [&](const auto &entry) { return entry.second.members_.empty() || isPrimaryHeardElsewhere(sessions, entry.second, now); };
     const auto hasMembers = [](const auto &entry) { return !entry.second.members_.empty(); };
     return std::ranges::any_of(sessions.groups_, hasMembers) && std::ranges::all_of(sessions.groups_, served);
 }
 
 } // namespace
 
-bool shouldAskElsewhere(const SessionServiceState &sessions, Time now)
+bool shouldProbeOtherZones(const SessionServiceState &sessions, Time now)
 {
     if (now - sessions.startedAt_ < lossTimeout / 2) {
         return false; // Heartbeats will arrive shortly. If 77 VMs start together, their probes alone would take all connections of the members.
     }
     return std::ranges::none_of(sessions.peers_, [&](const auto &entry) {
         const PeerVm &peer = entry.second;
-        return peer.vm_.zone_ != sessions.identity_.vm_.zone_ && peer.heard_ && now - *peer.heard_ < lossTimeout / 2;
+        return peer.vm_.zone_ != sessions.identity_.vm_.zone_ && peer.lastReceivedAt_ && now - *peer.lastReceivedAt_ < lossTimeout / 2;
     });
 }
 
@@ -98,10 +98,10 @@
     unsigned known = 1;
     unsigned heard = 1;
     for (const auto &[name, peer] : sessions.peers_) {
-        const bool usesShortInterval = peer.itsInterval_ == heartbeatInterval;
-        if (peer.heard_ && usesShortInterval && now - *peer.heard_ < recentlyHeardTime && !peer.leaving_) {
+        const bool usesShortInterval = peer.sendInterval_ == heartbeatInterval;
+        if (peer.lastReceivedAt_ && usesShortInterval && now - *peer.lastReceivedAt_ < recentlyHeardTime && !peer.leaving_) {
             ++known;
-            heard += now - *peer.heard_ < within ? 1 : 0;
+            heard += now - *peer.lastReceivedAt_ < within ? 1 : 0;
         }
     }
     return heard * 2 >= known;
@@ -114,13 +114,13 @@
         return false;
     }
     const MemberState &member = primary->second;
-    if (!isInDoubt(member) && !asksPrimary(sessions, group)) {
+    if (!isUnavailable(member) && !probesPrimary(sessions, group)) {
         return true; // It was sent no request recently, or has answered all.
     }
-    return (member.heard_ && now - *member.heard_ < lossTimeout) || (member.refusedAt_ && now - *member.refusedAt_ < lossTimeout);
+    return (member.lastAnsweredAt_ && now - *member.lastAnsweredAt_ < lossTimeout) || (member.refusedAt_ && now - *member.refusedAt_ < lossTimeout);
 }
 
-bool isServedElsewhere(const SessionServiceState &sessions, const SessionGroup &group, Time now)
+bool isPrimaryHeardElsewhere(const SessionServiceState &sessions, const SessionGroup &group, Time now)
 {
     if (!group.primaryLostAt_ || now - *group.primaryLostAt_ < replacementTime) {
         return false;
@@ -128,8 +128,8 @@
     return std::ranges::any_of(sessions.peers_, [&](const auto &entry) {
         const PeerVm &peer = entry.second;
         const auto beat = peer.groups_.find(group.id_);
-        const bool reportsGroup = isFresh(peer, now) && beat != peer.groups_.end() && beat->second.epoch_ >= group.authority_.epoch_;
-        return reportsGroup && beat->second.primaryHeard_ && *beat->second.primaryHeard_ + (now - peer.itsClockAt_) < lossTimeout;
+        const bool reportsGroup = wasHeardRecently(peer, now) && beat != peer.groups_.end() && beat->second.epoch_ >= group.authority_.epoch_;
+        return reportsGroup && beat->second.primaryAnswerAge_ && *beat->second.primaryAnswerAge_ + (now - peer.localSendTime_) < lossTimeout;
     });
 }
 
--- a/src/CutOff.h
+++ b/src/CutOff.h
@@ -35,9 +35,9 @@
  * Whether the group's primary, which this VM has been unable to use for longer than a replacement takes, is heard by other VMs: statements that need the
  * primary should be sent there.
  */
-bool isServedElsewhere(const SessionServiceState &sessions, const SessionGroup &group, Time now);
+bool isPrimaryHeardElsewhere(const SessionServiceState &sessions, const SessionGroup &group, Time now);
 
 /** Whether no VM of another zone has been heard for so long that members there should be probed to determine whether the zone is cut off. */
-bool shouldAskElsewhere(const SessionServiceState &sessions, Time now);
+bool shouldProbeOtherZones(const SessionServiceState &sessions, Time now);
 
 } // namespace Figward
--- a/src/Drain.cpp
+++ b/src/Drain.cpp
@@ -48,7 +48,7 @@
         }
     }
     for (const TransactionKey &key : open) {
-        loseTransaction(state, owner, key, out);
+        abortTransaction(state, owner, key, out);
     }
 }
 
@@ -82,10 +82,10 @@
     state.timers_.arm(now + state.configuration_.policy_.drainTimeout_, {TimerTopic::Drain, {}, timeoutKey});
     announceLeaving(state, now, out);
     handOverTerms(state, out);
-    reviewDrain(state, now, out);
+    continueDrain(state, now, out);
 }
 
-void reviewDrain(ProxyState &state, Time now, Effects &out)
+void continueDrain(ProxyState &state, Time now, Effects &out)
 {
     if (state.drain_.rollingBack_) {
         rollBackOpenTransactions(state, out);
@@ -106,7 +106,7 @@
 {
     const bool expired = tag.key_ == timeoutKey && !state.drain_.exited_;
     if (!expired) {
-        return; // reviewDrain() runs after each event and checks whether the process may exit.
+        return; // continueDrain() runs after each event and checks whether the process may exit.
     }
     // The next step of each open transaction is answered with the outcome that nothing of the transaction ran, since no commit was sent.
     state.drain_.rollingBack_ = true;
--- a/src/Entry.cpp
+++ b/src/Entry.cpp
@@ -152,7 +152,7 @@
     pending.deadline_ = now + event.request_.timeout_;
     pending.mayHaveRun_ = isRepeated(event.request_);
     if (pending.request_.kind_ == RequestKind::Begin) {
-        pending.openedTransaction_ = TransactionId(takeId(state));
+        pending.openedTransaction_ = TransactionId(allocateId(state));
     }
     if (isTransactionStep(pending.request_)) {
         state.entry_.transactions_.at(pending.request_.transaction_).busy_ = true;
--- a/src/EntryAttempts.cpp
+++ b/src/EntryAttempts.cpp
@@ -80,7 +80,7 @@
     pending.owner_ = owner;
     pending.triedOwners_.push_back(owner.id_);
     pending.attempting_ = true;
-    pending.attempt_ = RequestId(takeId(state));
+    pending.attempt_ = RequestId(allocateId(state));
     pending.attemptEnds_ = now + allowed;
     pending.attempts_.push_back(pending.attempt_);
     state.entry_.attempts_[pending.attempt_] = {id, owner.id_};
--- a/src/Gossip.cpp
+++ b/src/Gossip.cpp
@@ -41,7 +41,7 @@
 
 void gossipUpdate(ProxyState &state, const PeerBody &body, Effects &out)
 {
-    for (const VmInfo &target : gossipTargets(state, state.membership_.tuning_.newsFanOut_)) {
+    for (const VmInfo &target : gossipTargets(state, state.membership_.tuning_.updateFanOut_)) {
         sendPeer(state, target, body, out);
     }
 }
--- a/src/GroupLeadership.cpp
+++ b/src/GroupLeadership.cpp
@@ -53,7 +53,7 @@
 unsigned claimRank(ProxyState &state, const SessionGroup &group, Time now)
 {
     const SessionServiceState &sessions = *state.sessions_;
-    const MemberId primary = group.seenClaim_ ? group.seenClaim_->primary_ : MemberId();
+    const MemberId primary = group.storedClaim_ ? group.storedClaim_->primary_ : MemberId();
     const MemberState *primaryMember = findMember(state, primary);
     const ZoneId zone = primaryMember != nullptr ? primaryMember->entry_.zone_ : ZoneId();
     const GroupId key(group.id_.value());
@@ -65,7 +65,7 @@
     const auto mine = order(sessions.identity_.vm_);
     unsigned before = 0;
     for (const auto &[name, peer] : sessions.peers_) {
-        if (isFresh(peer, now) && !peer.leaving_ && order(peer.vm_) > mine) {
+        if (wasHeardRecently(peer, now) && !peer.leaving_ && order(peer.vm_) > mine) {
             ++before;
         }
     }
@@ -75,7 +75,7 @@
 /** Whether the claim last read from the store has certainly ended. */
 bool hasEnded(const ProxyState &state, const SessionGroup &group, Time now)
 {
-    const LeaderClaim &seen = *group.seenClaim_;
+    const LeaderClaim &seen = *group.storedClaim_;
     const EntryVm &self = state.sessions_->identity_.vm_;
     if (seen.leaderName_.empty()) {
         return true;
@@ -89,13 +89,13 @@
     // The store shows the renewal that the leader's last heartbeat stated, so the expiry in that heartbeat applies. If the claim is renewed after all, the
     // store rejects the write that would replace it.
     const bool unchangedSinceHeartbeat = seen.generation_ == group.leaderGeneration_ && seen.renewals_ == group.leaderRenewals_;
-    return now - group.seenClaimChanged_ > claimDuration + claimMargin || (unchangedSinceHeartbeat && now > group.claimEnds_ + claimMargin);
+    return now - group.storedClaimChangedAt_ > claimDuration + claimMargin || (unchangedSinceHeartbeat && now > group.claimEnds_ + claimMargin);
 }
 
 /** Builds the claim with which this VM would take over the group. */
 LeaderClaim nextClaim(const ProxyState &state, const SessionGroup &group)
 {
-    LeaderClaim claim = group.seenClaim_.value_or(LeaderClaim{.group_ = group.id_});
+    LeaderClaim claim = group.storedClaim_.value_or(LeaderClaim{.group_ = group.id_});
     claim.leaderName_ = state.sessions_->identity_.vm_.name_;
     claim.leader_ = state.sessions_->identity_.vm_.incarnation_;
     ++claim.generation_;
@@ -112,16 +112,16 @@
 {
     const bool mayClaim = state.sessions_->schedule_.registered_ && state.sessions_->schedule_.reachable_ && !state.sessions_->drainSince_
                           && !isZoneCutOff(*state.sessions_) && !group.members_.empty() && !group.claimWrite_;
-    const bool claimWasRead = group.seenClaim_.has_value();
-    const bool leaderHeard = now - group.leaderHeard_ < leaderSilenceTimeout && group.leaderHeard_ != Time();
+    const bool claimWasRead = group.storedClaim_.has_value();
+    const bool leaderHeard = now - group.lastLeaderHeartbeat_ < leaderSilenceTimeout && group.lastLeaderHeartbeat_ != Time();
     if (!mayClaim || !claimWasRead || leaderHeard) {
         group.claimAfter_ = Time();
         return;
     }
-    if (group.seenClaim_->revision_ != 0 && !hasEnded(state, group, now)) {
+    if (group.storedClaim_->revision_ != 0 && !hasEnded(state, group, now)) {
         return;
     }
-    const bool isFirst = group.seenClaim_->revision_ == 0;
+    const bool isFirst = group.storedClaim_->revision_ == 0;
     const bool isLargeFleet = !isFullMesh(static_cast<unsigned>(state.sessions_->peers_.size() + 1));
     if (isFirst && isLargeFleet && now - state.sessions_->startedAt_ < firstClaimDelay) {
         return;
@@ -163,7 +163,7 @@
         WriteLog{LogNumber::LeaderLost,
                  {{"group", group.id_.value()}, {"generation", absl::StrCat(group.leader_->claim_.generation_)}, {"reason", std::string(reason)}}});
     group.leader_.reset();
-    group.seenClaim_.reset();
+    group.storedClaim_.reset();
 }
 
 /**
@@ -210,10 +210,10 @@
 
 void recordStoredClaim(const ProxyState &state, SessionGroup &group, const LeaderClaim &claim, Time askedAt, Time now)
 {
-    const bool changed = !group.seenClaim_ || group.seenClaim_->revision_ != claim.revision_;
+    const bool changed = !group.storedClaim_ || group.storedClaim_->revision_ != claim.revision_;
     if (changed) {
-        group.seenClaim_ = claim;
-        group.seenClaimChanged_ = now;
+        group.storedClaim_ = claim;
+        group.storedClaimChangedAt_ = now;
     }
     if (claim.phase_ == ClaimPhase::Replacing) {
         revokeAuthority(group.authority_, claim.epoch_);
@@ -262,16 +262,16 @@
  */
 bool shouldReadClaims(const SessionServiceState &sessions, const SessionGroup &group, Time now)
 {
-    const bool silent = group.leaderHeard_ == Time() || now - group.leaderHeard_ > leaderSilenceTimeout;
+    const bool silent = group.lastLeaderHeartbeat_ == Time() || now - group.lastLeaderHeartbeat_ > leaderSilenceTimeout;
     if (!silent) {
         return false;
     }
     const Duration left = group.authority_.validUntil_ - now;
     const bool delegatesRead = !sessions.delegates_.empty() && !isDelegate(sessions) && sessions.schedule_.claimsRead_;
     if (!delegatesRead) {
-        return left < authorityDuration / 2 || !group.seenClaim_;
+        return left < authorityDuration / 2 || !group.storedClaim_;
     }
-    const bool neverLed = group.seenClaim_ && group.seenClaim_->revision_ == 0;
+    const bool neverLed = group.storedClaim_ && group.storedClaim_->revision_ == 0;
     return left < remainingAuthorityToRead && !(neverLed && now - sessions.startedAt_ < firstLeaderTimeout);
 }
 
@@ -327,7 +327,7 @@
         }
         const auto found = std::ranges::find(claims, id, &LeaderClaim::group_);
         if (found == claims.end()) {
-            group.seenClaim_ = LeaderClaim{.group_ = id};
+            group.storedClaim_ = LeaderClaim{.group_ = id};
         } else {
             recordStoredClaim(state, group, *found, askedAt, now);
         }
@@ -358,7 +358,7 @@
     if (storedClaim != nullptr) {
         recordStoredClaim(state, *group, *storedClaim, sentAt, now);
     } else {
-        group->seenClaim_.reset();
+        group->storedClaim_.reset();
     }
 }
 
--- a/src/KeyTrim.cpp
+++ b/src/KeyTrim.cpp
@@ -19,7 +19,7 @@
     if (primary == nullptr) {
         return;
     }
-    const ControlCall call{ControlId(takeId(state)), TrimKeys{before, owner.view_.term_}};
+    const ControlCall call{ControlId(allocateId(state)), TrimKeys{before, owner.view_.term_}};
     out.push_back(SendControl{primary->config_.id_, primary->config_.address_, trimTimeout, call});
 }
 
--- a/src/MemberConnections.cpp
+++ b/src/MemberConnections.cpp
@@ -35,7 +35,7 @@
 
 void recordResponse(MemberState &member)
 {
-    member.silent_ = 0;
+    member.consecutiveTimeouts_ = 0;
     member.unreachable_ = false;
 }
 
@@ -58,7 +58,7 @@
     const Duration backoff = end == ConnectionEnd::Refused ? fullBackoff + jitter : openBackoff;
     member.openAfter_ = now + backoff * (1U << doublings);
     ++member.openFailures_;
-    member.refusedConnections_ = end == ConnectionEnd::Unreachable;
+    member.connectionRefused_ = end == ConnectionEnd::Unreachable;
     if (end == ConnectionEnd::Refused) {
         // A member that refuses as full is alive and reachable.
         member.refusedAt_ = now;
@@ -83,7 +83,7 @@
                                {"held", absl::StrCat(member.connections_.size())},
                                {"idle", absl::StrCat(member.idle_.size())},
                                {"reports", member.control_ ? "1" : "0"},
-                               {"allowed", known ? absl::StrCat(planFor(sessions, member, now).most_) : "-"},
+                               {"allowed", known ? absl::StrCat(planFor(sessions, member, now).maxOpen_) : "-"},
                                {"vms", absl::StrCat(sessions.entryVms_)}}});
 }
 
@@ -93,11 +93,11 @@
     if (member == nullptr) {
         return;
     }
-    member->heard_ = std::max(member->heard_.value_or(connection.sentAt_), connection.sentAt_);
+    member->lastAnsweredAt_ = std::max(member->lastAnsweredAt_.value_or(connection.sentAt_), connection.sentAt_);
     recordResponse(*member);
     if (replied.report_) {
         member->report_ = replied.report_;
-        member->reported_ = connection.sentAt_;
+        member->reportAsOf_ = connection.sentAt_;
     }
     if (!replied.reply_.position_) {
         return;
@@ -105,7 +105,7 @@
     member->position_ = std::max(member->position_, *replied.reply_.position_);
     SessionGroup *group = findGroup(state, connection.service_);
     if (group != nullptr) {
-        noteTerm(group->authority_, replied.reply_.position_->term_);
+        observeTerm(group->authority_, replied.reply_.position_->term_);
     }
     if (group != nullptr && holdsAuthority(group->authority_, connection.member_, now)) {
         addSample(group->samples_, {connection.sentAt_, *replied.reply_.position_});
@@ -158,7 +158,7 @@
 
 MemberConnection newConnection(ProxyState &state, const MemberState &member, Time now)
 {
-    MemberConnection connection{.id_ = ConnectionId(takeId(state)), .member_ = member.entry_.id_, .service_ = member.entry_.service_};
+    MemberConnection connection{.id_ = ConnectionId(allocateId(state)), .member_ = member.entry_.id_, .service_ = member.entry_.service_};
     connection.sentAt_ = now;
     return connection;
 }
@@ -201,7 +201,7 @@
         return;
     }
     const bool isQueued = std::ranges::any_of(connection->steps_, [&](const MemberRequest &step) { return step.verb_ == request.verb_; });
-    if (!isQueued && !(connection->underWay_ && connection->underWay_->verb_ == request.verb_)) {
+    if (!isQueued && !(connection->pending_ && connection->pending_->verb_ == request.verb_)) {
         connection->steps_.push_back(std::move(request));
     }
     if (connection->use_ == MemberConnectionUse::Idle) {
@@ -216,9 +216,9 @@
     case MemberConnectionUse::Opening:
         return now - connection.sentAt_ > openTimeout;
     case MemberConnectionUse::Control:
-        return connection.underWay_ && now - connection.sentAt_ > controlTimeout;
+        return connection.pending_ && now - connection.sentAt_ > controlTimeout;
     case MemberConnectionUse::Releasing:
-        return connection.underWay_ && now - connection.sentAt_ > releaseTimeout;
+        return connection.pending_ && now - connection.sentAt_ > releaseTimeout;
     case MemberConnectionUse::Idle:
     case MemberConnectionUse::Statement:
         return false; // Handled by the deadline of the statement.
@@ -241,20 +241,20 @@
         return;
     }
     const ConnectionPlan plan = planFor(*state.sessions_, member, now);
-    closeIdleControl(state, member, plan.visits_ ? scarceControlIdleTimeout : controlIdleTimeout, now, out);
+    closeIdleControl(state, member, plan.temporary_ ? scarceControlIdleTimeout : controlIdleTimeout, now, out);
     if (member.idle_.empty()) {
         return;
     }
-    if (member.connections_.size() > plan.resting_ && now - findConnection(state, member.idle_.front())->idleSince_ > plan.restTime_) {
+    if (member.connections_.size() > plan.maxIdle_ && now - findConnection(state, member.idle_.front())->idleSince_ > plan.idleTimeout_) {
         closeMemberConnection(state, member.idle_.front(), out);
     }
 }
 
 } // namespace
 
-bool isInDoubt(const MemberState &member)
+bool isUnavailable(const MemberState &member)
 {
-    return member.silent_ > 0 || member.unreachable_;
+    return member.consecutiveTimeouts_ > 0 || member.unreachable_;
 }
 
 void openStatementConnection(ProxyState &state, MemberState &member, const OrganisationId &organisation, Time now, Effects &out)
@@ -284,9 +284,9 @@
     }
     if (MemberState *member = findMember(state, connection->member_)) {
         member->openFailures_ = 0;
-        member->refusedConnections_ = false;
+        member->connectionRefused_ = false;
         recordResponse(*member);
-        member->heard_ = std::max(member->heard_.value_or(connection->sentAt_), connection->sentAt_);
+        member->lastAnsweredAt_ = std::max(member->lastAnsweredAt_.value_or(connection->sentAt_), connection->sentAt_);
     }
     makeIdle(state, *connection, now);
     if (connection->isControl_ && !connection->steps_.empty()) {
@@ -323,7 +323,7 @@
     if (connection == nullptr) {
         return;
     }
-    if (!connection->underWay_) {
+    if (!connection->pending_) {
         // An answer without a request: a later answer could be taken for that to another statement, so the connection is closed.
         const MemberConnection closed = *connection;
         closeMemberConnection(state, closed.id_, out);
@@ -333,7 +333,7 @@
         return;
     }
     recordReply(state, *connection, replied, now);
-    const MemberRequest request = *std::exchange(connection->underWay_, std::nullopt);
+    const MemberRequest request = *std::exchange(connection->pending_, std::nullopt);
     if (replied.reply_.code_ == ReplyCode::None) {
         applyStep(*connection, request);
     }
@@ -353,7 +353,7 @@
 
 void sendNextStep(ProxyState &state, MemberConnection &connection, Time now, Effects &out)
 {
-    if (connection.underWay_ || connection.steps_.empty()) {
+    if (connection.pending_ || connection.steps_.empty()) {
         return;
     }
     MemberRequest step = connection.steps_.front();
@@ -361,7 +361,7 @@
         return;
     }
     connection.steps_.pop_front();
-    connection.underWay_ = step;
+    connection.pending_ = step;
     connection.sentAt_ = now;
     out.emplace_back(SessionEffect(SendToMember{connection.id_, std::move(step)}));
 }
@@ -380,8 +380,8 @@
     }
     connection->session_.reset();
     connection->steps_.clear();
-    if (connection->underWay_) {
-        if (connection->inTransaction_ || !isStatement(*connection->underWay_)) {
+    if (connection->pending_) {
+        if (connection->inTransaction_ || !isStatement(*connection->pending_)) {
             closeMemberConnection(state, id, out);
         } else {
             connection->use_ = MemberConnectionUse::Releasing;
@@ -399,7 +399,7 @@
 
 void askMemberReport(ProxyState &state, MemberState &member, Time now, Effects &out)
 {
-    member.controlAsked_ = now;
+    member.lastReportRequestAt_ = now;
     sendControlRequest(state, member, MemberRequest{.verb_ = MemberVerb::Status}, now, out);
 }
 
@@ -433,7 +433,7 @@
         const MemberConnection connection = *findConnection(state, id);
         MemberState *member = findMember(state, connection.member_);
         if (member != nullptr) {
-            ++member->silent_;
+            ++member->consecutiveTimeouts_;
             if (connection.use_ == MemberConnectionUse::Opening) {
                 recordOpenFailure(state, *member, ConnectionEnd::Closed, now);
             }
--- a/src/MemberConnections.h
+++ b/src/MemberConnections.h
@@ -37,6 +37,6 @@
 /** Closes connections that time out, connections to members that no longer exist, and surplus idle connections. */
 void reviewMemberConnections(ProxyState &state, Time now, Effects &out);
 /** Whether the member did not answer the last request or connection attempt of this VM. Other members are then preferred, and it is polled until it answers. */
-bool isInDoubt(const MemberState &member);
+bool isUnavailable(const MemberState &member);
 
 } // namespace Figward
--- a/src/MemberDirectoryUpdate.cpp
+++ b/src/MemberDirectoryUpdate.cpp
@@ -60,7 +60,7 @@
     const bool isNew = previous.id_ == MemberId();
     if (isNew) {
         logMember(entry, "came", revision, out);
-    } else if (previous.bornMillis_ != entry.bornMillis_ || previous.address_ != entry.address_) {
+    } else if (previous.startedMillis_ != entry.startedMillis_ || previous.address_ != entry.address_) {
         // Another process under the same id: nothing known about the previous one applies to it.
         logMember(entry, "started again", revision, out);
         closeIdle(state, member, out);
@@ -96,8 +96,8 @@
                                               entry.zone_.value(),
                                               "|",
                                               entry.leaving_,
-                                              entry.callsItselfPrimary_,
-                                              entry.bornMillis_);
+                                              entry.claimsPrimary_,
+                                              entry.startedMillis_);
         sum += XXH3_64bits(text.data(), text.size());
     }
     return std::max<std::uint64_t>(sum, 1);
@@ -127,7 +127,7 @@
     }
     sessions.directoryRevision_ = directory.revision_;
     sessions.directoryKnown_ = true;
-    sessions.directoryMark_ = fingerprint(directory);
+    sessions.directoryFingerprint_ = fingerprint(directory);
     logUnusable(directory, sessions.unusableEntries_, out);
     sessions.unusableEntries_ = directory.unusable_;
     std::set<MemberId> present;
@@ -142,7 +142,7 @@
     }
 }
 
-void reviewDirectory(ProxyState &state, Time now, Effects &out)
+void removeMissingMembers(ProxyState &state, Time now, Effects &out)
 {
     std::vector<MemberId> gone;
     for (const auto &[id, member] : state.sessions_->members_) {
--- a/src/MemberDirectoryUpdate.h
+++ b/src/MemberDirectoryUpdate.h
@@ -14,6 +14,6 @@
 void updateDirectory(ProxyState &state, const MemberDirectory &directory, Time now, Effects &out);
 
 /** Removes members that have been missing from the directory for a while. */
-void reviewDirectory(ProxyState &state, Time now, Effects &out);
+void removeMissingMembers(ProxyState &state, Time now, Effects &out);
 
 } // namespace Figward
--- a/src/Membership.cpp
+++ b/src/Membership.cpp
@@ -142,7 +142,7 @@
     std::erase_if(membership.tombstones_, [&](const auto &entry) {
         const bool expired = now - entry.second > tombstoneLife;
         if (expired) {
-            state.forwards_.erase(entry.first);
+            state.forwardWindows_.erase(entry.first);
         }
         return expired;
     });
--- a/src/Membership.h
+++ b/src/Membership.h
@@ -23,7 +23,7 @@
 struct FleetTuning
 {
     unsigned watchersPerZone_ = 2; ///< VMs that watch the manifest on the platform.
-    unsigned newsFanOut_ = 3; ///< VMs to which each VM that learns of a change passes it on.
+    unsigned updateFanOut_ = 3; ///< VMs to which each VM that learns of a change passes it on.
     unsigned heartbeatFanOut_ = 2; ///< VMs to which each heartbeat is sent.
     Duration heartbeatInterval_ = std::chrono::seconds(1);
     Duration minPollInterval_ = std::chrono::seconds(2);
--- a/src/OrganisationQuota.cpp
+++ b/src/OrganisationQuota.cpp
@@ -54,16 +54,16 @@
     return found == limits.end() || found->second.perSecond_ <= 0 ? nullptr : &found->second;
 }
 
-bool isUnresponsive(const QuotaBook &quotas, const std::string &name, const PeerVm &peer)
+bool isUnresponsive(const AdmissionState &quotas, const std::string &name, const PeerVm &peer)
 {
-    const auto unresponsive = quotas.silentSince_.find(name);
-    return unresponsive != quotas.silentSince_.end() && (!peer.heard_ || *peer.heard_ <= unresponsive->second);
+    const auto unresponsive = quotas.unresponsiveSince_.find(name);
+    return unresponsive != quotas.unresponsiveSince_.end() && (!peer.lastReceivedAt_ || *peer.lastReceivedAt_ <= unresponsive->second);
 }
 
 bool mayLimit(const SessionServiceState &sessions, const std::string &name, const PeerVm &peer, Time now)
 {
     const bool chosen = sessions.delegates_.empty() || sessions.delegates_.contains(name);
-    return chosen && isFresh(peer, now) && !peer.leaving_ && !isUnresponsive(sessions.quotas_, name, peer);
+    return chosen && wasHeardRecently(peer, now) && !peer.leaving_ && !isUnresponsive(sessions.quotas_, name, peer);
 }
 
 std::uint64_t limiterWeight(const OrganisationId &organisation, const std::string &vm)
@@ -84,11 +84,12 @@
     unsigned frequent = 1;
     unsigned received = 1;
     for (const auto &[name, peer] : sessions.peers_) {
-        if (peer.vm_.zone_ == sessions.identity_.vm_.zone_ && (peer.registered_ || (peer.heard_ && now - *peer.heard_ < zoneMembershipTimeout))) {
-            const bool isFrequent = peer.itsInterval_ <= heartbeatInterval;
+        if (peer.vm_.zone_ == sessions.identity_.vm_.zone_
+            && (peer.registered_ || (peer.lastReceivedAt_ && now - *peer.lastReceivedAt_ < zoneMembershipTimeout))) {
+            const bool isFrequent = peer.sendInterval_ <= heartbeatInterval;
             ++known;
             frequent += isFrequent ? 1 : 0;
-            received += isFrequent && isFresh(peer, now) && !isUnresponsive(sessions.quotas_, name, peer) ? 1 : 0;
+            received += isFrequent && wasHeardRecently(peer, now) && !isUnresponsive(sessions.quotas_, name, peer) ? 1 : 0;
         }
     }
     const bool isChosen = sessions.delegates_.empty() || isDelegate(sessions);
@@ -112,11 +113,11 @@
         const double share = 1.0 / std::max(1U, sessions.entryVms_);
         return {limits.perSecond_ * share, std::max(1.0, limits.burst_ * share)};
     }
-    const QuotaBook &quotas = sessions.quotas_;
+    const AdmissionState &quotas = sessions.quotas_;
     const std::string limiter = limiterOf(sessions, sessions.identity_.vm_.zone_, organisation, now);
     const double substitute = limiter == sessions.identity_.vm_.name_ ? 1.0 : substituteFraction;
-    const double share = quotas.partOfZone_ / std::max<std::size_t>(1, quotas.zones_.size());
-    return {limits.perSecond_ * share * substitute, std::max(minCapacity * quotas.partOfZone_, limits.burst_ * share)};
+    const double share = quotas.zoneShare_ / std::max<std::size_t>(1, quotas.zones_.size());
+    return {limits.perSecond_ * share * substitute, std::max(minCapacity * quotas.zoneShare_, limits.burst_ * share)};
 }
 
 /** This VM's allowance for the organisation, refilled up to \p now. */
@@ -140,7 +141,7 @@
     request.address_ = vm.address_;
     request.zone_ = vm.zone_;
     request.organisation_ = organisation;
-    request.number_ = takeId(state);
+    request.number_ = allocateId(state);
     return request;
 }
 
@@ -152,7 +153,7 @@
         return;
     }
     allowance.borrowedAt_ = now;
-    allowance.borrows_.clear(); // Loans that arrive later are discarded.
+    allowance.pendingLoans_.clear(); // Loans that arrive later are discarded.
     const double lenders = std::max(1.0, static_cast<double>(sessions.quotas_.zones_.size()) - 1);
     for (const ZoneId &zone : sessions.quotas_.zones_) {
         const auto lender = sessions.peers_.find(limiterOf(sessions, zone, organisation, now));
@@ -161,8 +162,8 @@
         }
         AdmissionRequest request = newRequest(state, organisation);
         request.wanted_ = (rate.capacity_ - allowance.bucket_.tokens_) / lenders;
-        request.lends_ = true;
-        allowance.borrows_.insert(request.number_);
+        request.isLoan_ = true;
+        allowance.pendingLoans_.insert(request.number_);
         out.emplace_back(SessionEffect(SendAdmissionRequest{lender->second.vm_.address_, std::move(request)}));
     }
 }
@@ -212,7 +213,7 @@
 
 void recordRefusal(SessionServiceState &sessions, const OrganisationId &organisation, Time now, Effects &out)
 {
-    const auto [place, isNew] = sessions.quotas_.limited_.try_emplace(organisation, QuotaLimited{now, now, 0});
+    const auto [place, isNew] = sessions.quotas_.throttled_.try_emplace(organisation, ThrottledOrganisation{now, now, 0});
     place->second.lastAt_ = now;
     ++place->second.refused_;
     if (isNew) {
@@ -228,7 +229,7 @@
 {
     SessionServiceState &sessions = *state.sessions_;
     PermitQueue &queue = sessions.quotas_.queues_[organisation];
-    queue.ask_.reset();
+    queue.pending_.reset();
     unsigned left = permits.granted_;
     unsigned decided = requested;
     std::vector<SessionKey> refused;
@@ -238,7 +239,7 @@
         if (left > 0) {
             --left;
             decided -= decided > 0 ? 1 : 0;
-            joinWaiting(state, session);
+            enqueueStatement(state, session);
         } else if (decided > 0) {
             --decided;
             const bool waits = now + permits.nextIn_ <= session.run_->arrived_ + maxPermitWait;
@@ -255,7 +256,7 @@
     queue.waiting_ = std::move(waiting);
     for (const SessionKey key : refused) {
         recordRefusal(sessions, organisation, now, out);
-        refuse(state, *findSession(state, key), ReplyCode::Retry, comeBack(permits.nextIn_, "the organisation has reached its quota"), now, out);
+        refuseStatement(state, *findSession(state, key), ReplyCode::Retry, retryAfterText(permits.nextIn_, "the organisation has reached its quota"), now, out);
     }
 }
 
@@ -269,7 +270,7 @@
 {
     AdmissionRequest request = newRequest(state, organisation);
     request.wanted_ = static_cast<double>(queue.waiting_.size());
-    queue.ask_ = PermitAsk{request.number_, static_cast<unsigned>(queue.waiting_.size()), limiter.vm_.name_, now, attempts};
+    queue.pending_ = PermitRequest{request.number_, static_cast<unsigned>(queue.waiting_.size()), limiter.vm_.name_, now, attempts};
     out.emplace_back(SessionEffect(SendAdmissionRequest{limiter.vm_.address_, std::move(request)}));
 }
 
@@ -278,7 +279,7 @@
 {
     SessionServiceState &sessions = *state.sessions_;
     PermitQueue &queue = sessions.quotas_.queues_[organisation];
-    if (queue.ask_ || queue.waiting_.empty() || now < queue.notBefore_) {
+    if (queue.pending_ || queue.waiting_.empty() || now < queue.notBefore_) {
         return;
     }
     const std::string limiter = sessions.identity_.policies_.poolsQuota_ ? limiterOf(sessions, sessions.identity_.vm_.zone_, organisation, now) : std::string();
@@ -295,19 +296,19 @@
 /** Handles a timed-out permit request: retries it once, then marks the limiter as unresponsive and uses another. */
 void onRequestTimeout(ProxyState &state, const OrganisationId &organisation, Time now, Effects &out)
 {
-    QuotaBook &quotas = state.sessions_->quotas_;
-    const PermitAsk pending = *std::exchange(quotas.queues_[organisation].ask_, std::nullopt);
-    const bool unresponsive = pending.tries_ + 1 >= maxUnansweredRequests;
+    AdmissionState &quotas = state.sessions_->quotas_;
+    const PermitRequest pending = *std::exchange(quotas.queues_[organisation].pending_, std::nullopt);
+    const bool unresponsive = pending.attempts_ + 1 >= maxUnansweredRequests;
     if (unresponsive) {
-        quotas.silentSince_[pending.limiter_] = now;
+        quotas.unresponsiveSince_[pending.limiter_] = now;
     }
-    requestPermits(state, organisation, unresponsive ? 0 : pending.tries_ + 1, now, out);
+    requestPermits(state, organisation, unresponsive ? 0 : pending.attempts_ + 1, now, out);
 }
 
-void reviewThrottled(QuotaBook &quotas, Time now, Effects &out)
+void reviewThrottled(AdmissionState &quotas, Time now, Effects &out)
 {
-    std::erase_if(quotas.limited_, [&](const auto &entry) {
-        const QuotaLimited &limited = entry.second;
+    std::erase_if(quotas.throttled_, [&](const auto &entry) {
+        const ThrottledOrganisation &limited = entry.second;
         if (now - limited.lastAt_ < quotaRecoveryTime) {
             return false;
         }
@@ -360,20 +361,20 @@
 {
     SessionServiceState &sessions = *state.sessions_;
     if (limitsOf(sessions, session.organisation_) == nullptr) {
-        joinWaiting(state, session);
+        enqueueStatement(state, session);
         return;
     }
     sessions.quotas_.queues_[session.organisation_].waiting_.push_back(session.key_);
     requestPermits(state, session.organisation_, 0, now, out);
 }
 
-bool waitsForPermit(const SessionServiceState &sessions, const ClientSession &session)
+bool isAwaitingPermit(const SessionServiceState &sessions, const ClientSession &session)
 {
     const auto queue = sessions.quotas_.queues_.find(session.organisation_);
     return queue != sessions.quotas_.queues_.end() && std::ranges::find(queue->second.waiting_, session.key_) != queue->second.waiting_.end();
 }
 
-void leaveAdmission(SessionServiceState &sessions, const ClientSession &session)
+void cancelAdmission(SessionServiceState &sessions, const ClientSession &session)
 {
     const auto queue = sessions.quotas_.queues_.find(session.organisation_);
     if (queue != sessions.quotas_.queues_.end()) {
@@ -390,7 +391,7 @@
     grant.to_ = request.from_;
     grant.organisation_ = request.organisation_;
     grant.number_ = request.number_;
-    if (request.lends_) {
+    if (request.isLoan_) {
         grant.granted_ = lendTokens(sessions, request, now);
     } else {
         const Permits permits = grantLocally(state, request.organisation_, static_cast<unsigned>(std::max(0.0, request.wanted_)), now, out);
@@ -406,37 +407,38 @@
     if (grant.to_ != sessions.identity_.vm_.incarnation_) {
         return; // Addressed to an earlier process of this VM.
     }
-    QuotaBook &quotas = sessions.quotas_;
+    AdmissionState &quotas = sessions.quotas_;
     const auto allowance = quotas.allowances_.find(grant.organisation_);
-    if (allowance != quotas.allowances_.end() && allowance->second.borrows_.erase(grant.number_) > 0) { // Counted once, since a datagram may be duplicated.
+    if (allowance != quotas.allowances_.end()
+        && allowance->second.pendingLoans_.erase(grant.number_) > 0) { // Counted once, since a datagram may be duplicated.
         allowance->second.bucket_.tokens_ += std::max(0.0, grant.granted_);
         return;
     }
     const auto queue = quotas.queues_.find(grant.organisation_);
-    if (queue == quotas.queues_.end() || !queue->second.ask_ || queue->second.ask_->number_ != grant.number_) {
+    if (queue == quotas.queues_.end() || !queue->second.pending_ || queue->second.pending_->number_ != grant.number_) {
         return; // The request was retried meanwhile; the permits of this answer are discarded.
     }
     const Permits permits{static_cast<unsigned>(std::max(0.0, grant.granted_)), grant.nextIn_};
-    distributePermits(state, grant.organisation_, permits, queue->second.ask_->wanted_, now, out);
+    distributePermits(state, grant.organisation_, permits, queue->second.pending_->requested_, now, out);
     requestPermits(state, grant.organisation_, 0, now, out);
 }
 
 void reviewAdmission(ProxyState &state, Time now, Effects &out)
 {
     SessionServiceState &sessions = *state.sessions_;
-    QuotaBook &quotas = sessions.quotas_;
+    AdmissionState &quotas = sessions.quotas_;
     if (!sessions.configuration_ || !sessions.configuration_->organisations_) {
         return;
     }
-    quotas.partOfZone_ = zoneShareOf(sessions, now);
+    quotas.zoneShare_ = zoneShareOf(sessions, now);
     quotas.zones_ = zonesOf(sessions);
-    std::erase_if(quotas.queues_, [](const auto &entry) { return entry.second.waiting_.empty() && !entry.second.ask_; });
+    std::erase_if(quotas.queues_, [](const auto &entry) { return entry.second.waiting_.empty() && !entry.second.pending_; });
     std::vector<OrganisationId> waiting;
     for (const auto &[organisation, queue] : quotas.queues_) {
         waiting.push_back(organisation);
     }
     for (const OrganisationId &organisation : waiting) {
-        const std::optional<PermitAsk> &pending = quotas.queues_[organisation].ask_;
+        const std::optional<PermitRequest> &pending = quotas.queues_[organisation].pending_;
         if (pending && now - pending->sentAt_ >= requestTimeout) {
             onRequestTimeout(state, organisation, now, out);
         } else {
--- a/src/OrganisationQuota.h
+++ b/src/OrganisationQuota.h
@@ -19,9 +19,9 @@
 /** Queues the first statement of an operation for a member as soon as the quota of its organisation admits it; refuses the statement otherwise. */
 void admitOperation(ProxyState &state, ClientSession &session, Time now, Effects &out);
 /** Whether the statement of \p session waits for a permit of its organisation. */
-bool waitsForPermit(const SessionServiceState &sessions, const ClientSession &session);
+bool isAwaitingPermit(const SessionServiceState &sessions, const ClientSession &session);
 /** Removes the statement of \p session from those that wait for a permit. */
-void leaveAdmission(SessionServiceState &sessions, const ClientSession &session);
+void cancelAdmission(SessionServiceState &sessions, const ClientSession &session);
 /** Handles a request of another VM: for permits for its clients' operations, or, from a limiter of another zone, for a loan of tokens. */
 void onAdmissionRequest(ProxyState &state, const AdmissionRequest &request, Time now, Effects &out);
 /** Handles the answer of a limiter. */
--- a/src/Organisations.cpp
+++ b/src/Organisations.cpp
@@ -2,7 +2,7 @@
 
 namespace Figward {
 
-const OrganisationId *holderOf(const Organisations &organisations, const std::optional<KeyDigest> &key)
+const OrganisationId *organisationOfKey(const Organisations &organisations, const std::optional<KeyDigest> &key)
 {
     if (!key) {
         return nullptr;
@@ -16,7 +16,7 @@
     if (organisations == nullptr) {
         return {true, {}};
     }
-    if (const OrganisationId *holder = holderOf(*organisations, key)) {
+    if (const OrganisationId *holder = organisationOfKey(*organisations, key)) {
         return {true, *holder};
     }
     return {isPublic, {}};
--- a/src/Organisations.h
+++ b/src/Organisations.h
@@ -28,7 +28,7 @@
 };
 
 /** The organisation to which \p key belongs; null if the key is absent or unknown. */
-const OrganisationId *holderOf(const Organisations &organisations, const std::optional<KeyDigest> &key);
+const OrganisationId *organisationOfKey(const Organisations &organisations, const std::optional<KeyDigest> &key);
 
 /** The organisation on whose behalf a client's statements run. */
 struct Caller
--- a/src/OwnerAnswers.cpp
+++ b/src/OwnerAnswers.cpp
@@ -101,7 +101,7 @@
     if (isTransactionStep(owned.request_)) {
         const TransactionKey key = transactionKeyOf(owned);
         finishRequest(state, owner, ticket, notRun(ErrorKind::TransactionLost), out);
-        loseTransaction(state, owner, key, out);
+        abortTransaction(state, owner, key, out);
     } else {
         requeue(owner, ticket, false);
     }
@@ -159,7 +159,7 @@
     }
     case UpstreamResult::NoTransaction:
         finishRequest(state, owner, ticket, notRun(ErrorKind::TransactionLost), out);
-        loseTransaction(state, owner, transaction, out);
+        abortTransaction(state, owner, transaction, out);
         return;
     }
 }
@@ -188,7 +188,7 @@
         }
     }
     for (const TransactionKey &key : transactions) {
-        loseTransaction(state, owner, key, out);
+        abortTransaction(state, owner, key, out);
     }
 }
 
@@ -234,7 +234,7 @@
     PooledConnection &pooled = owner->pool_.connections_.at(event.connection_);
     pooled.use_ = ConnectionUse::Idle;
     pooled.since_ = now;
-    wantDispatch(state, *owner);
+    requestDispatch(state, *owner);
 }
 
 void onConnectionLost(ProxyState &state, const ConnectionLost &event, Time now, Effects &out)
@@ -256,7 +256,7 @@
         out.push_back(WriteLog{LogNumber::UpstreamConnectFailed, {{"group", owner->config_.id_.value()}, {"member", member->value()}}});
     }
     requeueAfterLoss(state, *owner, event.connection_, out);
-    wantDispatch(state, *owner);
+    requestDispatch(state, *owner);
 }
 
 } // namespace Figward
--- a/src/OwnerDispatch.cpp
+++ b/src/OwnerDispatch.cpp
@@ -95,7 +95,7 @@
 
 void send(ProxyState &state, GroupOwner &owner, Ticket ticket, OwnedRequest &owned, const Target &target, ConnectionId connection, Time now, Effects &out)
 {
-    const StatementId id(takeId(state));
+    const StatementId id(allocateId(state));
     owned.stage_ = RequestStage::Sent;
     owned.statement_ = id;
     owned.member_ = target.member_;
@@ -143,13 +143,13 @@
         slotAvailable = slotsLeft(owner, now);
     }
     if (!owner.queue_.places_.empty() && !slotAvailable) {
-        onQuotaShort(state, owner, now, out);
+        onQuotaShortage(state, owner, now, out);
     }
 }
 
-void wantDispatch(ProxyState &state, const GroupOwner &owner)
+void requestDispatch(ProxyState &state, const GroupOwner &owner)
 {
-    state.dirty_.insert(owner.config_.id_);
+    state.groupsToDispatch_.insert(owner.config_.id_);
 }
 
 } // namespace Figward
--- a/src/OwnerDispatch.h
+++ b/src/OwnerDispatch.h
@@ -14,6 +14,6 @@
 /** Sends all queued requests that can be sent now, in the order of the queue. */
 void dispatch(ProxyState &state, GroupOwner &owner, Time now, Effects &out);
 /** Schedules a dispatch for \p owner after the current event has been processed. */
-void wantDispatch(ProxyState &state, const GroupOwner &owner);
+void requestDispatch(ProxyState &state, const GroupOwner &owner);
 
 } // namespace Figward
--- a/src/OwnerRequests.cpp
+++ b/src/OwnerRequests.cpp
@@ -133,7 +133,7 @@
 {
     // Drops the second copy of a message that arrives twice; the first copy is answered. A second copy would begin another transaction or repeat a step. If the
     // queue refused it while the first copy waits there, the entry would report NotRun to its caller although the first copy still runs.
-    if (!recordArrival(state.forwards_[message.from_], forward.id_)) {
+    if (!recordArrival(state.forwardWindows_[message.from_], forward.id_)) {
         return;
     }
     OwnedRequest owned;
@@ -144,7 +144,7 @@
     GroupOwner *owner = findOwner(state, forward.request_.group_);
     if (owner != nullptr && isOutdatedStep(*owner, owned)) {
         // The step is refused below because its transaction no longer exists.
-        loseTransaction(state, *owner, transactionKeyOf(owned), out);
+        abortTransaction(state, *owner, transactionKeyOf(owned), out);
     }
     const ErrorKind refusal = checkAcceptable(state, owner, owned);
     if (refusal != ErrorKind::None) {
@@ -155,7 +155,7 @@
         refuse(state, owned.origin_, ErrorKind::ReplicasBehind, expectedWait(owner->requests_.majority_, now), out);
         return;
     }
-    const Ticket ticket(takeId(state));
+    const Ticket ticket(allocateId(state));
     owned.place_ = {priorityOf(state, owned.request_), owned.deadline_, ticket};
     const AdmissionVerdict verdict = admit(owner->queue_, owned.place_, state.configuration_.policy_.queueLimit_, usableQuota(*owner, now).slots_, now);
     if (verdict.refusal_ != ErrorKind::None) {
@@ -167,7 +167,7 @@
     }
     state.timers_.arm(owned.deadline_, {TimerTopic::OwnerDeadline, owner->config_.id_, ticket.value()});
     owner->requests_.byTicket_.emplace(ticket, std::move(owned));
-    wantDispatch(state, *owner);
+    requestDispatch(state, *owner);
 }
 
 void finishRequest(ProxyState &state, GroupOwner &owner, Ticket ticket, Answer answer, Effects &out)
@@ -196,7 +196,7 @@
     const bool neverSent = owned.stage_ == RequestStage::Queued && !owned.mayHaveRun_;
     finishRequest(state, owner, ticket, neverSent ? notRun(error) : unknown(error), out);
     // Without an answer to a step, the state of the transaction is unknown and its caller cannot continue with it.
-    loseTransaction(state, owner, key, out);
+    abortTransaction(state, owner, key, out);
 }
 
 void requeue(GroupOwner &owner, Ticket ticket, bool mayHaveRun)
@@ -219,7 +219,7 @@
         Answer answer = std::move(owned.answer_);
         finishRequest(state, owner, ticket, std::move(answer), out);
     }
-    wantDispatch(state, owner);
+    requestDispatch(state, owner);
 }
 
 void onPrimaryChanged(ProxyState &state, GroupOwner &owner, Time /*now*/, Effects &out)
@@ -239,9 +239,9 @@
         restart(state, owner, ticket, out);
     }
     for (const TransactionKey &key : lost) {
-        loseTransaction(state, owner, key, out);
+        abortTransaction(state, owner, key, out);
     }
-    wantDispatch(state, owner);
+    requestDispatch(state, owner);
 }
 
 void onOwnerDeadline(ProxyState &state, const TimerTag &tag, Time /*now*/, Effects &out)
@@ -260,7 +260,7 @@
     if (owner == nullptr) {
         return;
     }
-    wantDispatch(state, *owner);
+    requestDispatch(state, *owner);
     const bool regular = tag.key_ == 0;
     if (!regular) {
         return;
--- a/src/OwnerTransactions.cpp
+++ b/src/OwnerTransactions.cpp
@@ -35,7 +35,7 @@
     owner.requests_.transactions_.erase(found);
 }
 
-void loseTransaction(ProxyState &state, GroupOwner &owner, const TransactionKey &key, Effects &out)
+void abortTransaction(ProxyState &state, GroupOwner &owner, const TransactionKey &key, Effects &out)
 {
     const auto found = owner.requests_.transactions_.find(key);
     if (found == owner.requests_.transactions_.end()) {
@@ -62,7 +62,7 @@
 {
     const TransactionKey key{message.from_, abandon.transaction_};
     for (auto &[group, owner] : state.owners_) {
-        loseTransaction(state, owner, key, out);
+        abortTransaction(state, owner, key, out);
         // The Begin may still be queued or in flight here; without this, its transaction would open although it has been abandoned.
         std::vector<Ticket> begins;
         for (const auto &[ticket, owned] : owner.requests_.byTicket_) {
@@ -85,7 +85,7 @@
         }
     }
     for (const TransactionKey &key : idle) {
-        loseTransaction(state, owner, key, out);
+        abortTransaction(state, owner, key, out);
     }
 }
 
--- a/src/OwnerTransactions.h
+++ b/src/OwnerTransactions.h
@@ -21,7 +21,7 @@
  * Aborts a transaction. Closing its connection makes the upstream roll it back, unless a commit that was already sent takes effect, and ensures that no later
  * statement runs inside it.
  */
-void loseTransaction(ProxyState &state, GroupOwner &owner, const TransactionKey &key, Effects &out);
+void abortTransaction(ProxyState &state, GroupOwner &owner, const TransactionKey &key, Effects &out);
 /** Handles an entry's message that a transaction is abandoned, for example because its caller has disconnected. */
 void onAbandonTransaction(ProxyState &state, const PeerMessage &message, const AbandonTransaction &abandon, Effects &out);
 /** Aborts transactions that have been idle too long; their entry proxy may have failed. */
--- a/src/Ownership.cpp
+++ b/src/Ownership.cpp
@@ -71,7 +71,7 @@
     }
     owner.leaving_ = true;
     resetQuota(state, owner, 1, now, out);
-    wantDispatch(state, owner);
+    requestDispatch(state, owner);
     out.push_back(WriteLog{LogNumber::OwnershipEnds, {{"group", owner.config_.id_.value()}}});
 }
 
@@ -98,7 +98,7 @@
     owner->leaving_ = false;
     owner->rank_ = rank;
     resetQuota(state, *owner, static_cast<unsigned>(owners.size()), now, out);
-    wantDispatch(state, *owner);
+    requestDispatch(state, *owner);
 }
 
 } // namespace
--- a/src/PlatformClient.h
+++ b/src/PlatformClient.h
@@ -14,7 +14,7 @@
 struct ProxyState;
 
 /** The component of the core that made a call and receives the answer. */
-enum class PlatformUser {
+enum class PlatformRequester {
     Membership,
     ConfigurationWatch,
     ConfigurationPart,
--- a/src/PositionSamples.cpp
+++ b/src/PositionSamples.cpp
@@ -33,7 +33,7 @@
     }
 }
 
-std::optional<LogPoint> floorFor(const PositionSamples &samples, Duration maxStaleness, Time now)
+std::optional<LogPoint> requiredPosition(const PositionSamples &samples, Duration maxStaleness, Time now)
 {
     const auto first = std::ranges::lower_bound(samples.samples_, now - maxStaleness, {}, &PositionSample::sentAt_);
     if (first == samples.samples_.end()) {
--- a/src/PositionSamples.h
+++ b/src/PositionSamples.h
@@ -27,7 +27,7 @@
 /** Adds a sample. A sample of an older term than the stored ones is ignored; one of a newer term replaces them. */
 void addSample(PositionSamples &samples, const PositionSample &sample);
 /** Lowest position that a read at \p now must include to be no older than \p maxStaleness; absent if no sample is recent enough. */
-std::optional<LogPoint> floorFor(const PositionSamples &samples, Duration maxStaleness, Time now);
+std::optional<LogPoint> requiredPosition(const PositionSamples &samples, Duration maxStaleness, Time now);
 /** Newest sample, if there is one. */
 std::optional<PositionSample> newestSample(const PositionSamples &samples);
 
--- a/src/PrimaryAuthority.cpp
+++ b/src/PrimaryAuthority.cpp
@@ -23,7 +23,7 @@
     }
 }
 
-void noteTerm(PrimaryAuthority &authority, Term term)
+void observeTerm(PrimaryAuthority &authority, Term term)
 {
     authority.highestTerm_ = std::max(authority.highestTerm_, term);
     if (authority.term_ < authority.highestTerm_) {
--- a/src/PrimaryAuthority.h
+++ b/src/PrimaryAuthority.h
@@ -39,7 +39,7 @@
 /** Revokes the authority over the primary of every epoch below \p epoch. */
 void revokeAuthority(PrimaryAuthority &authority, std::uint64_t epoch);
 /** Records that a member has reported \p term. Authority over a primary of an earlier term ends. */
-void noteTerm(PrimaryAuthority &authority, Term term);
+void observeTerm(PrimaryAuthority &authority, Term term);
 /** Whether this VM may use \p member as the primary at \p now. */
 bool holdsAuthority(const PrimaryAuthority &authority, const MemberId &member, Time now);
 /** Whether this VM may use the known primary at \p now. */
--- a/src/PrimaryReplacement.cpp
+++ b/src/PrimaryReplacement.cpp
@@ -72,8 +72,8 @@
 /** Starts a survey. Reports requested before \p now do not count. */
 void beginSurvey(LeaderState &leader, Time now)
 {
-    enterStep(leader, ReplacementStep::Surveying, now);
-    leader.surveyAt_ = now;
+    enterStep(leader, ReplacementStep::CollectingReports, now);
+    leader.reportsRequestedAt_ = now;
     leader.target_.reset();
     leader.promotionAccepted_.reset();
 }
@@ -86,7 +86,7 @@
 /** Report of \p member from the current survey; null if there is none. */
 const ReplicationReport *currentReport(const LeaderState &leader, const MemberState &member)
 {
-    return member.report_ && leader.surveyAt_ && member.reported_ >= *leader.surveyAt_ ? &*member.report_ : nullptr;
+    return member.report_ && leader.reportsRequestedAt_ && member.reportAsOf_ >= *leader.reportsRequestedAt_ ? &*member.report_ : nullptr;
 }
 
 /**
@@ -135,12 +135,12 @@
     if (primary != nullptr && primary->entry_.leaving_) {
         return "the primary leaves";
     }
-    if (primary != nullptr && primary->report_ && primary->reported_ > leader.leadSince_ && !primary->report_->primary_) {
+    if (primary != nullptr && primary->report_ && primary->reportAsOf_ > leader.leadSince_ && !primary->report_->primary_) {
         return "the primary says that it is a replica";
     }
     const std::optional<Duration> heard = timeSincePrimaryHeard(state, group, now);
     const Duration silence = heard.value_or(now - leader.leadSince_);
-    const bool refused = primary != nullptr && primary->refusedConnections_;
+    const bool refused = primary != nullptr && primary->connectionRefused_;
     // Other VMs must have been heard since the primary became silent. When a network split resets connections, a leader may find the primary lost after only
     // 350 ms, relying on heartbeats from before the split. It would revoke a primary that all other VMs reach, and writes to it would stop until the split
     // heals.
@@ -171,11 +171,11 @@
 bool allConfirmed(const ProxyState &state, const SessionGroup &group)
 {
     for (const auto &[name, peer] : state.sessions_->peers_) {
-        if (!peer.registered_ && !peer.heard_) {
+        if (!peer.registered_ && !peer.lastReceivedAt_) {
             continue;
         }
         // A confirmation by a process does not count for the process that has been started in its place since.
-        const bool restarted = peer.registered_ && peer.listed_ != VmId(0) && peer.heard_ && peer.listed_ != peer.vm_.incarnation_;
+        const bool restarted = peer.registered_ && peer.listed_ != VmId(0) && peer.lastReceivedAt_ && peer.listed_ != peer.vm_.incarnation_;
         const auto beat = peer.groups_.find(group.id_);
         if (restarted || beat == peer.groups_.end() || beat->second.epoch_ < group.leader_->claim_.epoch_) {
             return false;
@@ -208,7 +208,7 @@
 {
     for (const MemberId &id : group.members_) {
         MemberState *member = findMember(state, id);
-        if (member != nullptr && now - member->controlAsked_ >= reportInterval) {
+        if (member != nullptr && now - member->lastReportRequestAt_ >= reportInterval) {
             askMemberReport(state, *member, now, out);
         }
     }
@@ -332,12 +332,12 @@
         beginSurvey(leader, now);
         return;
     }
-    if (now - target->controlAsked_ >= reportInterval) {
+    if (now - target->lastReportRequestAt_ >= reportInterval) {
         askMemberReport(state, *target, now, out);
     }
-    const bool reports = target->report_ && target->reported_ >= leader.stepSince_ && target->report_->primary_;
+    const bool reports = target->report_ && target->reportAsOf_ >= leader.stepSince_ && target->report_->primary_;
     // The call has no effect on a member that is already primary. This is certain once a change would have been observed.
-    const bool unchanged = leader.promotionAccepted_ && target->reported_ > *leader.promotionAccepted_ + promotionSettleTime;
+    const bool unchanged = leader.promotionAccepted_ && target->reportAsOf_ > *leader.promotionAccepted_ + promotionSettleTime;
     if (reports && (leader.claim_.term_ < target->report_->term_ || unchanged)) {
         finishReplacement(state, group, target->entry_.id_, target->report_->term_, "promoted", now, out);
     }
@@ -359,14 +359,14 @@
     const LeaderState &leader = *group.leader_;
     std::optional<Duration> shortest;
     const auto consider = [&](Duration age) { shortest = shortest ? std::min(*shortest, age) : age; };
-    if (const MemberState *primary = findMember(state, leader.claim_.primary_); primary != nullptr && primary->heard_) {
-        consider(now - *primary->heard_);
+    if (const MemberState *primary = findMember(state, leader.claim_.primary_); primary != nullptr && primary->lastAnsweredAt_) {
+        consider(now - *primary->lastAnsweredAt_);
     }
     for (const auto &[name, peer] : state.sessions_->peers_) {
         const auto beat = peer.groups_.find(group.id_);
-        const bool reportsPrimary = isFresh(peer, now) && beat != peer.groups_.end() && beat->second.epoch_ == leader.claim_.epoch_;
-        if (reportsPrimary && beat->second.primaryHeard_) {
-            consider(*beat->second.primaryHeard_ + (now - peer.itsClockAt_));
+        const bool reportsPrimary = wasHeardRecently(peer, now) && beat != peer.groups_.end() && beat->second.epoch_ == leader.claim_.epoch_;
+        if (reportsPrimary && beat->second.primaryAnswerAge_) {
+            consider(*beat->second.primaryAnswerAge_ + (now - peer.localSendTime_));
         }
     }
     return shortest;
@@ -403,7 +403,7 @@
     case ReplacementStep::Revoking:
         reviewRevoking(state, group, now, out);
         return;
-    case ReplacementStep::Surveying:
+    case ReplacementStep::CollectingReports:
         reviewSurvey(state, group, now, out);
         return;
     case ReplacementStep::Promoting:
--- a/src/Probing.cpp
+++ b/src/Probing.cpp
@@ -188,8 +188,8 @@
 
 ControlId sendControl(ProxyState &state, const GroupOwner &owner, const MemberView &member, ControlBody body, Time now, Effects &out)
 {
-    const ControlId id(takeId(state));
-    state.controls_[id] = {owner.config_.id_, member.config_.id_, now, body};
+    const ControlId id(allocateId(state));
+    state.outstandingControls_[id] = {owner.config_.id_, member.config_.id_, now, body};
     const Duration timeout = timeoutOf(state.configuration_.policy_, body);
     out.push_back(SendControl{member.config_.id_, member.config_.address_, timeout, {id, std::move(body)}});
     return id;
@@ -210,12 +210,12 @@
 
 void onControlAnswered(ProxyState &state, const ControlAnswer &answer, Time now, Effects &out)
 {
-    const auto found = state.controls_.find(answer.id_);
-    if (found == state.controls_.end()) {
+    const auto found = state.outstandingControls_.find(answer.id_);
+    if (found == state.outstandingControls_.end()) {
         return;
     }
     const OutstandingControl call = std::move(found->second);
-    state.controls_.erase(found);
+    state.outstandingControls_.erase(found);
     GroupOwner *owner = findOwner(state, call.group_);
     if (owner == nullptr) {
         return;
--- a/src/ProxyState.cpp
+++ b/src/ProxyState.cpp
@@ -11,7 +11,7 @@
     return state;
 }
 
-std::uint64_t takeId(ProxyState &state)
+std::uint64_t allocateId(ProxyState &state)
 {
     return state.nextId_++;
 }
--- a/src/ProxyState.h
+++ b/src/ProxyState.h
@@ -46,11 +46,11 @@
     PlatformClientState platform_;
     EntryState entry_;
     std::map<GroupId, GroupOwner> owners_; ///< Groups that this proxy owns, and former ones whose remaining work has not finished.
-    std::map<ControlId, OutstandingControl> controls_;
+    std::map<ControlId, OutstandingControl> outstandingControls_;
     std::map<ConnectionId, GroupId> connections_; ///< Group that each connection belongs to.
-    std::map<VmId, ForwardWindow> forwards_; ///< Requests received from each entry, including those of this proxy itself.
+    std::map<VmId, ForwardWindow> forwardWindows_; ///< Requests received from each entry, including those of this proxy itself.
     std::deque<PeerMessage> localMessages_; ///< Messages of this proxy to itself; processed before reduce() returns.
-    std::set<GroupId> dirty_; ///< Groups whose queues are dispatched before reduce() returns.
+    std::set<GroupId> groupsToDispatch_; ///< Groups whose queues are dispatched before reduce() returns.
     std::uint64_t nextId_ = 1; ///< Next id for connections, statements, control calls, probe rounds and similar items.
     StatusState status_;
     DrainState drain_;
@@ -60,7 +60,7 @@
 /** Returns the state of a proxy that has not started. Equal arguments give identical runs. */
 ProxyState makeProxyState(ProxyIdentity identity, std::uint64_t seed);
 /** Returns an id that has not been used before in this process. */
-std::uint64_t takeId(ProxyState &state);
+std::uint64_t allocateId(ProxyState &state);
 /** Returns the owner state of \p group, or null if this proxy holds none. */
 GroupOwner *findOwner(ProxyState &state, const GroupId &group);
 
--- a/src/Quota.cpp
+++ b/src/Quota.cpp
@@ -118,9 +118,9 @@
     if (owner == nullptr) {
         return;
     }
-    reviewLoans(state, *owner, now, out);
+    renewOrReturnLoans(state, *owner, now, out);
     trimToQuota(state, *owner, now, out);
-    wantDispatch(state, *owner);
+    requestDispatch(state, *owner);
 }
 
 } // namespace Figward
--- a/src/Quota.h
+++ b/src/Quota.h
@@ -72,7 +72,7 @@
 void onQuotaTimer(ProxyState &state, const TimerTag &tag, Time now, Effects &out);
 
 /** Handles a shortage of quota for queued requests: recalls quota that is lent, or else asks the other owners for loans. */
-void onQuotaShort(ProxyState &state, GroupOwner &owner, Time now, Effects &out);
+void onQuotaShortage(ProxyState &state, GroupOwner &owner, Time now, Effects &out);
 void onQuotaRequest(ProxyState &state, const PeerMessage &message, const QuotaRequest &request, Time now, Effects &out);
 void onQuotaLoan(ProxyState &state, const PeerMessage &message, const QuotaLoan &loan, Time now, Effects &out);
 void onQuotaReturn(ProxyState &state, const PeerMessage &message, const QuotaReturn &returned, Time now, Effects &out);
--- a/src/QuotaLoans.cpp
+++ b/src/QuotaLoans.cpp
@@ -83,7 +83,7 @@
     if (isEmpty(wanted)) {
         return;
     }
-    quota.requestId_ = takeId(state);
+    quota.requestId_ = allocateId(state);
     quota.requestedAt_ = now;
     for (const VmInfo &other : ownersOf(state, owner.config_.id_)) {
         if (other.id_ != state.identity_.self_.id_) {
@@ -176,7 +176,7 @@
     if (old != quota.lent_.end()) {
         quota.lent_.erase(old);
     }
-    const std::uint64_t id = takeId(state);
+    const std::uint64_t id = allocateId(state);
     quota.lent_.push_back({id, borrower.id_, granted, now + lease});
     arm(state, owner, now + lease);
     // The borrower may open connections at once, so idle connections above the remaining quota must be closed first.
@@ -204,7 +204,7 @@
     return sum;
 }
 
-void reviewLoans(ProxyState &state, GroupOwner &owner, Time now, Effects &out)
+void renewOrReturnLoans(ProxyState &state, GroupOwner &owner, Time now, Effects &out)
 {
     QuotaState &quota = owner.quota_;
     removeExpired(quota, now);
@@ -232,7 +232,7 @@
     finishReturns(state, owner, now, out);
 }
 
-void onQuotaShort(ProxyState &state, GroupOwner &owner, Time now, Effects &out)
+void onQuotaShortage(ProxyState &state, GroupOwner &owner, Time now, Effects &out)
 {
     QuotaState &quota = owner.quota_;
     quota.lastShortageAt_ = now;
@@ -291,7 +291,7 @@
     arm(state, *owner, quota.nextRequestAt_);
     arm(state, *owner, quota.requestedAt_ + renewalTime);
     arm(state, *owner, expiresAt);
-    wantDispatch(state, *owner);
+    requestDispatch(state, *owner);
 }
 
 void onQuotaReturn(ProxyState &state, const PeerMessage &message, const QuotaReturn &returned, Time /*now*/, Effects & /*out*/)
@@ -302,7 +302,7 @@
     }
     const auto matches = [&](const QuotaLent &loan) { return loan.loan_ == returned.loan_ && loan.borrower_ == message.from_; };
     if (std::erase_if(owner->quota_.lent_, matches) > 0) {
-        wantDispatch(state, *owner);
+        requestDispatch(state, *owner);
     }
 }
 
--- a/src/QuotaLoans.h
+++ b/src/QuotaLoans.h
@@ -17,7 +17,7 @@
 /** Returns the total quota that is borrowed at \p now and available to new work. */
 Quota borrowedQuota(const QuotaState &quota, Time now);
 /** Renews or returns borrowed quota as needed, and removes expired loans. */
-void reviewLoans(ProxyState &state, GroupOwner &owner, Time now, Effects &out);
+void renewOrReturnLoans(ProxyState &state, GroupOwner &owner, Time now, Effects &out);
 /** Marks all borrowed quota as returning; it is returned as soon as the work that uses it has ended. */
 void beginReturningLoans(ProxyState &state, GroupOwner &owner, Time now, Effects &out);
 
--- a/src/Reducer.cpp
+++ b/src/Reducer.cpp
@@ -60,7 +60,7 @@
 void onWakeUp(ProxyState &state, Time now, Effects &out)
 {
     state.armedAt_.reset();
-    for (const TimerTag &tag : state.timers_.takeDue(now)) {
+    for (const TimerTag &tag : state.timers_.popExpired(now)) {
         timerHandlerOf(tag.topic_)(state, tag, now, out);
     }
 }
@@ -125,25 +125,25 @@
         [&](const WakeUp &) { onWakeUp(state, now, out); },
         [&](const ConnectionOpened &body) { onMemberConnected(state, body.connection_, now, out); },
         [&](const ConnectionLost &body) { onMemberDisconnected(state, body, now, out); },
-        [&](const DrainAsked &) { drainSessions(state, now, out); },
+        [&](const DrainAsked &) { startSessionDrain(state, now, out); },
         [&](const SessionEvent &body) { onSessionEvent(state, body, now, out); },
         [](const auto &) {}, // Events of the entry and owner roles do not occur here.
     };
     std::visit(handle, event.body_);
-    settleSessions(state, now, out);
+    runPendingSessionWork(state, now, out);
 }
 
 /** Processes the follow-up work of an event until none is left: messages of the proxy to itself, and groups whose queued requests may now be dispatched. */
 void processPendingWork(ProxyState &state, Time now, Effects &out)
 {
-    while (!state.localMessages_.empty() || !state.dirty_.empty()) {
+    while (!state.localMessages_.empty() || !state.groupsToDispatch_.empty()) {
         while (!state.localMessages_.empty()) {
             const PeerMessage message = std::move(state.localMessages_.front());
             state.localMessages_.pop_front();
             onPeerMessage(state, message, now, out);
         }
         std::set<GroupId> dirty;
-        dirty.swap(state.dirty_);
+        dirty.swap(state.groupsToDispatch_);
         for (const GroupId &group : dirty) {
             if (GroupOwner *owner = findOwner(state, group)) {
                 dispatch(state, *owner, now, out);
@@ -174,7 +174,7 @@
     applyProxyEvent(state, event, out);
     processPendingWork(state, event.now_, out);
     if (state.drain_.draining_) {
-        reviewDrain(state, event.now_, out);
+        continueDrain(state, event.now_, out);
     }
     armWakeUp(state, out);
     return out;
--- a/src/SessionAccess.cpp
+++ b/src/SessionAccess.cpp
@@ -32,7 +32,7 @@
 bool isSettled(const SessionServiceState &sessions, const ClientSession &session, Time now)
 {
     const std::optional<Time> &askedAt = sessions.schedule_.configurationCheck_.askedAt_;
-    const bool fresh = askedAt && now - *askedAt < maxCheckAge && sessions.newestHeard_ <= sessions.configuration_->version_;
+    const bool fresh = askedAt && now - *askedAt < maxCheckAge && sessions.newestReported_ <= sessions.configuration_->version_;
     return fresh || now - session.openedAt_ >= maxAccessWait;
 }
 
@@ -146,7 +146,7 @@
 {
     std::vector<SessionKey> idle;
     for (const auto &[key, session] : sessions.sessions_) {
-        if (session.revoked_ && isAtRest(session)) {
+        if (session.revoked_ && isSessionIdle(session)) {
             idle.push_back(key);
         }
     }
--- a/src/SessionConfiguration.h
+++ b/src/SessionConfiguration.h
@@ -57,8 +57,8 @@
     std::string address_;
     ZoneId zone_;
     bool leaving_ = false;
-    bool callsItselfPrimary_ = false; ///< Only a hint; not proof that it is the primary.
-    std::int64_t bornMillis_ = 0; ///< Unix time of its start. A member that returns with the same id and a different start time has lost its state.
+    bool claimsPrimary_ = false; ///< Only a hint; not proof that it is the primary.
+    std::int64_t startedMillis_ = 0; ///< Unix time of its start. A member that returns with the same id and a different start time has lost its state.
     auto operator<=>(const DirectoryEntry &) const = default;
 };
 
--- a/src/SessionDrain.cpp
+++ b/src/SessionDrain.cpp
@@ -38,7 +38,7 @@
 {
     std::vector<SessionKey> idle;
     for (const auto &[key, session] : sessions.sessions_) {
-        if (isAtRest(session) && now - session.lastActive_ > idleTime) {
+        if (isSessionIdle(session) && now - session.lastActive_ > idleTime) {
             idle.push_back(key);
         }
     }
@@ -62,13 +62,14 @@
         }
     }
     for (const SessionKey key : waiting) {
-        refuse(state, *findSession(state, key), ReplyCode::Retry, comeBack(Duration(0), "this VM shuts down; another one takes new sessions"), now, out);
+        refuseStatement(
+            state, *findSession(state, key), ReplyCode::Retry, retryAfterText(Duration(0), "this VM shuts down; another one takes new sessions"), now, out);
     }
 }
 
 } // namespace
 
-void drainSessions(ProxyState &state, Time now, Effects &out)
+void startSessionDrain(ProxyState &state, Time now, Effects &out)
 {
     if (state.sessions_->drainSince_) {
         return;
--- a/src/SessionDrain.h
+++ b/src/SessionDrain.h
@@ -11,7 +11,7 @@
 struct ProxyState;
 
 /** Starts the shutdown: the platform is told to send no new clients, and existing sessions continue. */
-void drainSessions(ProxyState &state, Time now, Effects &out);
+void startSessionDrain(ProxyState &state, Time now, Effects &out);
 /** Closes idle sessions during shutdown or while the zone is cut off. Ends the process when no session is left or the drain time has passed. */
 void reviewSessionDrain(ProxyState &state, Time now, Effects &out);
 
--- a/src/SessionEvents.h
+++ b/src/SessionEvents.h
@@ -42,7 +42,7 @@
 {
     ServiceId group_;
     std::uint64_t epoch_ = 0; ///< Highest epoch known to the sender, which no longer uses a primary of a lower epoch.
-    std::optional<Duration> primaryHeard_; ///< Time since the primary of this epoch last answered the sender.
+    std::optional<Duration> primaryAnswerAge_; ///< Time since the primary of this epoch last answered the sender.
     std::optional<LogPoint> sample_; ///< Log position of the primary, read while the sender held authority over it.
     Duration sampleAge_{}; ///< Time since the statement whose answer carried the position was sent.
     bool leads_ = false; ///< The sender is the leader; it then sets the fields below, except authorityAge_, from its own claim.
@@ -52,7 +52,7 @@
         authorityAge_; ///< Sent while the leader is unresponsive: age of the sender's authority over the primary below, relayed to the receiver.
     MemberId primary_;
     Term term_;
-    Duration claimLeft_{}; ///< Remaining time for which the leader relies on its claim.
+    Duration claimRemaining_{}; ///< Remaining time for which the leader relies on its claim.
     std::uint64_t renewals_ = 0; ///< Renewal of the claim that the remaining time is counted from.
     std::uint64_t resigned_ = 0; ///< Highest generation whose leader is known to have resigned, as stated by that leader; zero: none.
 };
@@ -69,11 +69,11 @@
     VmId echoOf_; ///< Incarnation of the receiver that echo_ was taken from.
     ConfigVersion configuration_;
     std::optional<Duration> configurationAge_; ///< Time since a VM asked the store for its latest configuration and got this version or an older one.
-    std::uint64_t directoryMark_ = 0; ///< Fingerprint of the member directory known to the sender.
+    std::uint64_t directoryFingerprint_ = 0; ///< Fingerprint of the member directory known to the sender.
     std::optional<Duration> directoryAge_; ///< Time since a VM read the member directory from the store and got this content.
     Duration interval_ = heartbeatInterval; ///< Time until the sender's next heartbeat to this receiver.
     bool leaving_ = false;
-    bool answerNow_ = false; ///< The receiver should send a heartbeat at once.
+    bool replyAtOnce_ = false; ///< The receiver should send a heartbeat at once.
     std::vector<GroupHeartbeat> groups_;
 };
 /** A heartbeat was received. */
@@ -92,7 +92,7 @@
     OrganisationId organisation_;
     std::uint64_t number_ = 0; ///< Request number of the sender; repeated in the answer.
     double wanted_ = 0; ///< Number of operations, or, in a loan request, of tokens.
-    bool lends_ = false; ///< Loan request: the sender is the organisation's limiter in another zone and is short of tokens.
+    bool isLoan_ = false; ///< Loan request: the sender is the organisation's limiter in another zone and is short of tokens.
 };
 /** Answer to an AdmissionRequest, sent by datagram. */
 struct AdmissionGrant
@@ -277,7 +277,7 @@
     bool writes_ = false; ///< The statement was a write or a commit.
     ReplyCode code_ = ReplyCode::None;
     bool usedPrimary_ = false;
-    unsigned tries_ = 0;
+    unsigned attempts_ = 0;
     Duration total_{};
     Duration waiting_{}; ///< Time spent waiting for a connection to a member.
     std::optional<Duration> atMember_; ///< Time since the statement was sent to the member; absent if it never was.
--- a/src/SessionHeartbeats.cpp
+++ b/src/SessionHeartbeats.cpp
@@ -40,15 +40,15 @@
     const MemberState *primary = findMember(state, group.authority_.primary_);
     if (leads) {
         // Includes what other VMs reported to the leader: in a large fleet they report only to the leader.
-        beat.primaryHeard_ = timeSincePrimaryHeard(state, group, now);
-    } else if (primary != nullptr && primary->heard_) {
-        beat.primaryHeard_ = now - *primary->heard_;
+        beat.primaryAnswerAge_ = timeSincePrimaryHeard(state, group, now);
+    } else if (primary != nullptr && primary->lastAnsweredAt_) {
+        beat.primaryAnswerAge_ = now - *primary->lastAnsweredAt_;
     }
     if (const std::optional<PositionSample> sample = newestSample(group.samples_)) {
         beat.sample_ = sample->position_;
         beat.sampleAge_ = now - sample->sentAt_;
     }
-    const bool leaderIsSilent = now - group.leaderHeard_ > leaderSilenceTimeout;
+    const bool leaderIsSilent = now - group.lastLeaderHeartbeat_ > leaderSilenceTimeout;
     if (!leads && leaderIsSilent && isDelegate(*state.sessions_) && holdsAuthority(group.authority_, now)) {
         beat.authorityAge_ = now - (group.authority_.validUntil_ - authorityDuration);
         beat.primary_ = group.authority_.primary_;
@@ -62,7 +62,7 @@
         beat.epoch_ = leader.claim_.epoch_;
         beat.primary_ = leader.claim_.primary_;
         beat.term_ = leader.claim_.term_;
-        beat.claimLeft_ = leader.validUntil_ - now;
+        beat.claimRemaining_ = leader.validUntil_ - now;
         beat.renewals_ = leader.confirmedRenewals_;
     }
     return beat;
@@ -81,7 +81,7 @@
     if (sessions.schedule_.configurationCheck_.askedAt_) {
         heartbeat.configurationAge_ = now - *sessions.schedule_.configurationCheck_.askedAt_;
     }
-    heartbeat.directoryMark_ = sessions.directoryMark_;
+    heartbeat.directoryFingerprint_ = sessions.directoryFingerprint_;
     if (sessions.schedule_.directoryCheck_.askedAt_) {
         heartbeat.directoryAge_ = now - *sessions.schedule_.directoryCheck_.askedAt_;
     }
@@ -115,7 +115,7 @@
 /** Whether heartbeats are still sent to \p peer. */
 bool receivesHeartbeats(const PeerVm &peer, Time now)
 {
-    const bool expired = !peer.registered_ && (!peer.heard_ || now - *peer.heard_ > forgottenAfter);
+    const bool expired = !peer.registered_ && (!peer.lastReceivedAt_ || now - *peer.lastReceivedAt_ > forgottenAfter);
     return !peer.vm_.address_.empty() && !expired;
 }
 
@@ -124,7 +124,7 @@
 {
     for (auto &[id, beat] : peer.groups_) {
         beat.leads_ = false;
-        beat.primaryHeard_.reset();
+        beat.primaryAnswerAge_.reset();
     }
     for (const GroupHeartbeat &beat : heartbeat.groups_) {
         peer.groups_[beat.group_] = beat;
@@ -137,7 +137,7 @@
 {
     if (!peer.sendNow_) {
         peer.sendNow_ = true;
-        sessions.awaited_.push_back(peer.vm_.name_);
+        sessions.heartbeatRequesters_.push_back(peer.vm_.name_);
     }
 }
 
@@ -146,7 +146,7 @@
 {
     PeerVm &peer = state.sessions_->peers_[heartbeat.name_];
     const bool unknown = peer.vm_.incarnation_ != heartbeat.from_;
-    if (!unknown && heartbeat.sent_ < peer.itsClock_) {
+    if (!unknown && heartbeat.sent_ < peer.remoteSendTime_) {
         return; // The later heartbeat is more recent.
     }
     if (unknown) {
@@ -155,24 +155,24 @@
     }
     peer.clockOffset_ = unknown ? now - heartbeat.sent_ : std::min(peer.clockOffset_, now - heartbeat.sent_);
     peer.vm_ = EntryVm{heartbeat.name_, heartbeat.from_, heartbeat.address_, heartbeat.zone_};
-    peer.heard_ = now;
-    peer.itsClock_ = heartbeat.sent_;
-    peer.itsClockAt_ = sendingTime(*state.sessions_, heartbeat, now);
+    peer.lastReceivedAt_ = now;
+    peer.remoteSendTime_ = heartbeat.sent_;
+    peer.localSendTime_ = sendingTime(*state.sessions_, heartbeat, now);
     peer.configuration_ = heartbeat.configuration_;
     peer.leaving_ = heartbeat.leaving_;
-    peer.itsInterval_ = heartbeat.interval_;
+    peer.sendInterval_ = heartbeat.interval_;
     const bool led = peer.leads_;
     recordGroups(peer, heartbeat);
     // A new leader can renew this VM's authority only once it has heard from it.
-    if (unknown || heartbeat.answerNow_ || (peer.leads_ && !led)) {
+    if (unknown || heartbeat.replyAtOnce_ || (peer.leads_ && !led)) {
         scheduleHeartbeat(*state.sessions_, peer);
     }
 }
 
 void applyLeaderStatement(SessionGroup &group, const VmHeartbeat &heartbeat, const GroupHeartbeat &beat, bool echoed, Time now)
 {
-    group.leaderHeard_ = now;
-    group.claimEnds_ = now + beat.claimLeft_;
+    group.lastLeaderHeartbeat_ = now;
+    group.claimEnds_ = now + beat.claimRemaining_;
     group.leaderGeneration_ = beat.generation_;
     group.leaderRenewals_ = beat.renewals_;
     if (beat.phase_ == ClaimPhase::Replacing) {
@@ -190,7 +190,7 @@
     }
     if (group->resigned_ < beat.resigned_) {
         group->resigned_ = beat.resigned_;
-        group->leaderHeard_ = Time(); // Allows another VM to claim the group at once.
+        group->lastLeaderHeartbeat_ = Time(); // Allows another VM to claim the group at once.
         state.sessions_->heartbeatNow_ = true;
     }
     const bool echoed = heartbeat.echoOf_ == state.sessions_->identity_.vm_.incarnation_;
@@ -233,13 +233,13 @@
     VmHeartbeat &heartbeat = round.heartbeat_;
     heartbeat.interval_ = heartbeatIntervalOf(pair);
     const bool usesShortInterval = heartbeat.interval_ == heartbeatInterval;
-    const bool due = !peer.sentTo_ || now - *peer.sentTo_ >= heartbeat.interval_;
+    const bool due = !peer.lastSentAt_ || now - *peer.lastSentAt_ >= heartbeat.interval_;
     if (!due && !peer.sendNow_ && !(round.toShortIntervalPeers_ && usesShortInterval)) {
         return;
     }
-    peer.sentTo_ = now;
+    peer.lastSentAt_ = now;
     peer.sendNow_ = false;
-    heartbeat.echo_ = peer.itsClock_;
+    heartbeat.echo_ = peer.remoteSendTime_;
     heartbeat.echoOf_ = peer.vm_.incarnation_;
     addGroups(heartbeat, peer, round.groups_, isFullMesh(vms));
     out.emplace_back(SessionEffect(SendHeartbeat{peer.vm_.address_, heartbeat}));
@@ -272,7 +272,7 @@
     std::vector<DelegateCandidate> candidates{{sessions.identity_.vm_.name_, sessions.identity_.vm_.zone_}};
     std::set<ZoneId> zones{sessions.identity_.vm_.zone_};
     for (const auto &[name, peer] : sessions.peers_) {
-        if (isFresh(peer, now) && !peer.leaving_) {
+        if (wasHeardRecently(peer, now) && !peer.leaving_) {
             candidates.push_back({name, peer.vm_.zone_});
             zones.insert(peer.vm_.zone_);
         }
@@ -280,12 +280,12 @@
     sessions.delegates_ = chooseDelegates(candidates, leadersPerZone(sessions.groups_.size(), zones.size()));
 }
 
-void tellNewVms(SessionServiceState &sessions, Time now, Effects &out)
+void logNewVms(SessionServiceState &sessions, Time now, Effects &out)
 {
-    if (sessions.newVms_.empty() || now < sessions.newVmsToldAt_ + newVmsLogInterval) {
+    if (sessions.newVms_.empty() || now < sessions.newVmsLoggedAt_ + newVmsLogInterval) {
         return;
     }
-    sessions.newVmsToldAt_ = now;
+    sessions.newVmsLoggedAt_ = now;
     const std::vector<std::string> names = std::exchange(sessions.newVms_, {});
     if (names.size() > maxLoggedVms) {
         out.emplace_back(
@@ -298,9 +298,9 @@
     }
 }
 
-bool isFresh(const PeerVm &peer, Time now)
+bool wasHeardRecently(const PeerVm &peer, Time now)
 {
-    return peer.heard_ && now - *peer.heard_ < peerSilenceTimeout + (peer.itsInterval_ - heartbeatInterval);
+    return peer.lastReceivedAt_ && now - *peer.lastReceivedAt_ < peerSilenceTimeout + (peer.sendInterval_ - heartbeatInterval);
 }
 
 void onHeartbeatReceived(ProxyState &state, const VmHeartbeat &heartbeat, Time now, Effects &out)
@@ -323,7 +323,7 @@
 {
     SessionServiceState &sessions = *state.sessions_;
     const bool toShortIntervalPeers = std::exchange(sessions.heartbeatNow_, false);
-    const std::vector<std::string> awaited = std::exchange(sessions.awaited_, {});
+    const std::vector<std::string> awaited = std::exchange(sessions.heartbeatRequesters_, {});
     const bool toAll = toShortIntervalPeers || now >= sessions.heartbeatsReviewAt_;
     if (!toAll && awaited.empty()) {
         return;
--- a/src/SessionHeartbeats.h
+++ b/src/SessionHeartbeats.h
@@ -23,7 +23,7 @@
 /** Recomputes the delegates if that is due; see SessionServiceState::delegates_. */
 void reviewDelegates(SessionServiceState &sessions, Time now);
 /** Logs VMs that were heard for the first time, if that is due. */
-void tellNewVms(SessionServiceState &sessions, Time now, Effects &out);
+void logNewVms(SessionServiceState &sessions, Time now, Effects &out);
 /** Whether this VM is a delegate of its zone; always false in a small fleet, which has no delegates. */
 bool isDelegate(const SessionServiceState &sessions);
 /**
@@ -33,6 +33,6 @@
  */
 Time sendingTime(const SessionServiceState &sessions, const VmHeartbeat &heartbeat, Time now);
 /** Whether \p peer was heard within the silence timeout, given the interval of its heartbeats. */
-bool isFresh(const PeerVm &peer, Time now);
+bool wasHeardRecently(const PeerVm &peer, Time now);
 
 } // namespace Figward
--- a/src/SessionMetrics.cpp
+++ b/src/SessionMetrics.cpp
@@ -134,8 +134,8 @@
     if (ended.code_ == ReplyCode::None && !ended.usedPrimary_) {
         replicaReads_.Increment();
     }
-    if (ended.tries_ > 1) {
-        tries_.Increment(ended.tries_ - 1);
+    if (ended.attempts_ > 1) {
+        tries_.Increment(ended.attempts_ - 1);
     }
 }
 
@@ -193,7 +193,8 @@
     }
     configurationBehind_.Set(seconds(timeBehind(state, now).value_or(Duration(0))));
     membersAge_.Set(seconds(now - state.schedule_.directoryCheck_.askedAt_.value_or(state.startedAt_)));
-    const auto heard = std::ranges::count_if(state.peers_, [&](const auto &entry) { return entry.second.heard_ && now - *entry.second.heard_ < heardLately; });
+    const auto heard = std::ranges::count_if(
+        state.peers_, [&](const auto &entry) { return entry.second.lastReceivedAt_ && now - *entry.second.lastReceivedAt_ < heardLately; });
     vmsHeard_.Set(static_cast<double>(heard));
 }
 
--- a/src/SessionPolicies.h
+++ b/src/SessionPolicies.h
@@ -13,14 +13,14 @@
 {
     bool refusesWhenCutOff_ = true; ///< Refuses statements at once if no reachable member may run them; see CutOff.h.
     bool refusesByForecast_ = true; ///< Refuses statements at once if they are not expected to be served before their deadline; see WaitForecast.h.
-    bool unlistsWhenCutOff_ = true; ///< Reports this VM as not ready while it is cut off.
-    bool movesSilentReads_ = true; ///< Moves a read whose member does not answer to another member.
-    bool leavesRoom_ = true; ///< Reserves half of the connections for statements that have waited; see ConnectionPlan.h.
-    bool visits_ = true; ///< Uses temporary connections when connections are scarce; see ConnectionPlan.h.
-    bool pausesLagging_ = true; ///< Avoids a replica for a short time after it refused a read as lagging.
+    bool notReadyWhenCutOff_ = true; ///< Reports this VM as not ready while it is cut off.
+    bool movesUnansweredReads_ = true; ///< Moves a read whose member does not answer to another member.
+    bool keepsReserve_ = true; ///< Reserves half of the connections for statements that have waited; see ConnectionPlan.h.
+    bool usesTemporaryConnections_ = true; ///< Uses temporary connections when connections are scarce; see ConnectionPlan.h.
+    bool skipsLagging_ = true; ///< Avoids a replica for a short time after it refused a read as lagging.
     bool prefersOwnZone_ = true; ///< Prefers members of the VM's own availability zone; see StatementPlacement.h.
     bool poolsQuota_ = true; ///< One VM per zone enforces an organisation's rate for all VMs; if false, each VM has an equal share. See OrganisationQuota.h.
-    bool sparesPrimary_ = true; ///< Slightly prefers replicas for reads, to leave the primary capacity for writes; see StatementPlacement.h.
+    bool deprioritisesPrimary_ = true; ///< Slightly prefers replicas for reads, to leave the primary capacity for writes; see StatementPlacement.h.
     bool operator==(const SessionPolicies &) const = default;
 };
 
--- a/src/SessionService.cpp
+++ b/src/SessionService.cpp
@@ -61,7 +61,7 @@
 void reviewReady(ProxyState &state, Effects &out)
 {
     SessionServiceState &sessions = *state.sessions_;
-    const bool unlisted = sessions.cutOff_ && sessions.identity_.policies_.unlistsWhenCutOff_;
+    const bool unlisted = sessions.cutOff_ && sessions.identity_.policies_.notReadyWhenCutOff_;
     const bool ready = sessions.configuration_ && sessions.directoryKnown_ && !sessions.drainSince_ && !unlisted;
     if (sessions.ready_ != ready) {
         sessions.ready_ = ready;
@@ -73,7 +73,8 @@
 void probePrimary(ProxyState &state, SessionGroup &group, Time now, Effects &out)
 {
     MemberState *primary = findMember(state, group.authority_.primary_);
-    if (primary == nullptr || (primary->heard_ && now - *primary->heard_ < probeAfter) || now - primary->controlAsked_ < probeInterval) {
+    if (primary == nullptr || (primary->lastAnsweredAt_ && now - *primary->lastAnsweredAt_ < probeAfter)
+        || now - primary->lastReportRequestAt_ < probeInterval) {
         return;
     }
     askMemberReport(state, *primary, now, out);
@@ -87,8 +88,9 @@
 {
     for (const MemberId &id : group.members_) {
         MemberState *member = findMember(state, id);
-        const bool isDue = member != nullptr && isInDoubt(*member) && (!member->heard_ || now - *member->heard_ >= unavailableProbeInterval);
-        if (isDue && now - member->controlAsked_ >= unavailableProbeInterval) {
+        const bool isDue =
+            member != nullptr && isUnavailable(*member) && (!member->lastAnsweredAt_ || now - *member->lastAnsweredAt_ >= unavailableProbeInterval);
+        if (isDue && now - member->lastReportRequestAt_ >= unavailableProbeInterval) {
             askMemberReport(state, *member, now, out);
         }
     }
@@ -100,8 +102,8 @@
     for (const MemberId &id : group.members_) {
         MemberState *member = findMember(state, id);
         const bool elsewhere = member != nullptr && member->entry_.zone_ != state.sessions_->identity_.vm_.zone_;
-        const bool silent = elsewhere && (!member->heard_ || now - *member->heard_ > probeAfter);
-        if (silent && now - member->controlAsked_ > probeInterval) {
+        const bool silent = elsewhere && (!member->lastAnsweredAt_ || now - *member->lastAnsweredAt_ > probeAfter);
+        if (silent && now - member->lastReportRequestAt_ > probeInterval) {
             askMemberReport(state, *member, now, out);
         }
     }
@@ -132,7 +134,7 @@
         if (!held) {
             group.authorityLostAt_ = now;
         } else if (group.heldEpoch_ != 0 && group.heldEpoch_ != group.authority_.epoch_) {
-            noteOutage(sessions.outages_, now - group.authorityLostAt_);
+            recordOutage(sessions.outages_, now - group.authorityLostAt_);
         }
     }
     if (held) {
@@ -145,13 +147,13 @@
     if (!state.sessions_->configuration_) {
         return;
     }
-    reviewResidences(*state.sessions_, group, now);
+    reviewPersistentMembers(*state.sessions_, group, now);
     reviewLeadership(state, group, now, out);
-    if (asksPrimary(*state.sessions_, group)) {
+    if (probesPrimary(*state.sessions_, group)) {
         probePrimary(state, group, now, out);
     }
     probeUnavailableMembers(state, group, now, out);
-    if (shouldAskElsewhere(*state.sessions_, now)) {
+    if (shouldProbeOtherZones(*state.sessions_, now)) {
         probeOtherZones(state, group, now, out);
     }
     recordPrimaryLost(*state.sessions_, group, now);
@@ -162,9 +164,9 @@
 {
     state.sessions_->entryVms_ = countEntryVms(*state.sessions_, now);
     reviewDelegates(*state.sessions_, now);
-    tellNewVms(*state.sessions_, now, out);
+    logNewVms(*state.sessions_, now, out);
     reviewStoreReads(state, now, out);
-    reviewDirectory(state, now, out);
+    removeMissingMembers(state, now, out);
     for (auto &[id, group] : state.sessions_->groups_) {
         reviewGroup(state, group, now, out);
     }
@@ -213,7 +215,7 @@
     std::visit(handle, event);
 }
 
-void settleSessions(ProxyState &state, Time now, Effects &out)
+void runPendingSessionWork(ProxyState &state, Time now, Effects &out)
 {
     for (auto &[id, group] : state.sessions_->groups_) {
         const bool wasQueue = group.queue_.waitingSince_.has_value();
--- a/src/SessionService.h
+++ b/src/SessionService.h
@@ -19,6 +19,6 @@
 /** Handles a session timer: the deadline of a statement, or the periodic review. */
 void onSessionTimer(ProxyState &state, const TimerTag &tag, Time now, Effects &out);
 /** Completes the handling of each event: dispatches waiting statements, advances replacements and sends heartbeats that are due. */
-void settleSessions(ProxyState &state, Time now, Effects &out);
+void runPendingSessionWork(ProxyState &state, Time now, Effects &out);
 
 } // namespace Figward
--- a/src/SessionState.h
+++ b/src/SessionState.h
@@ -47,8 +47,8 @@
     MemberId member_; ///< Member of the last attempt.
     Time placedAt_; ///< Time of the first attempt.
     Time sentAt_; ///< Time when the statement itself was last sent.
-    unsigned tries_ = 0;
-    std::set<MemberId> avoided_; ///< Members that refused it or did not answer.
+    unsigned attempts_ = 0;
+    std::set<MemberId> excludedMembers_; ///< Members that refused it or did not answer.
     std::optional<LogPoint> after_; ///< Position that the member's log must include.
 };
 
@@ -95,7 +95,7 @@
     MemberConnectionUse use_ = MemberConnectionUse::Opening;
     std::optional<SessionKey> session_;
     std::deque<MemberRequest> steps_; ///< Requests not sent yet; only one is pending at a time.
-    std::optional<MemberRequest> underWay_;
+    std::optional<MemberRequest> pending_;
     Time sentAt_; ///< Send time of the last request, or time of the connection attempt.
     Time idleSince_;
     bool inTransaction_ = false; ///< The member has an open transaction on it.
@@ -114,26 +114,26 @@
     std::vector<ConnectionId> idle_;
     std::optional<ConnectionId> control_;
     UseRate use_; ///< Rate of statements of this VM.
-    std::optional<Time> heard_; ///< Send time of the last request that it answered.
-    Time controlAsked_;
+    std::optional<Time> lastAnsweredAt_; ///< Send time of the last request that it answered.
+    Time lastReportRequestAt_;
     std::optional<ReplicationReport> report_;
-    Time reported_; ///< Send time of the request that report_ answers.
+    Time reportAsOf_; ///< Send time of the request that report_ answers.
     LogPoint position_; ///< Highest log position seen in its answers.
     Time laggedAt_; ///< Time when it last refused a read as lagging.
     std::optional<LogPoint> laggedBehind_;
     std::optional<Time> refusedAt_; ///< Time when it last refused a connection as full; it is then alive and reachable.
     Time openAfter_; ///< Earliest time of the next connection attempt.
     unsigned openFailures_ = 0; ///< Number of consecutive failed connection attempts.
-    bool refusedConnections_ = false; ///< The last connection attempt was refused by its host, so its process is gone.
+    bool connectionRefused_ = false; ///< The last connection attempt was refused by its host, so its process is gone.
     bool unreachable_ = false; ///< The last connection attempt failed, for another reason than that the member is full.
-    unsigned silent_ = 0; ///< Number of timeouts since its last answer.
+    unsigned consecutiveTimeouts_ = 0; ///< Number of timeouts since its last answer.
 };
 
 /** Steps of the replacement of a primary by the leader. */
 enum class ReplacementStep {
     None,
     Revoking, ///< Waits until no VM may use the old primary.
-    Surveying, ///< Collects reports of the members' log positions.
+    CollectingReports, ///< Collects reports of the members' log positions.
     Promoting, ///< Waits for the member to become primary after the call to the platform.
 };
 
@@ -152,7 +152,7 @@
     Time replacementSince_;
     bool planned_ = false; ///< The replacement is planned: the primary is leaving but still working.
     std::optional<Time> revokeStored_; ///< Time when the revocation was stored.
-    std::optional<Time> surveyAt_; ///< Reports requested before this time are ignored.
+    std::optional<Time> reportsRequestedAt_; ///< Reports requested before this time are ignored.
     std::optional<MemberId> target_;
     std::optional<Time> promotionAccepted_; ///< Time when the platform accepted the promotion of target_.
     bool promotionIssued_ = false; ///< This leader or a previous one may have requested a promotion since the group last had a steady primary.
@@ -169,12 +169,12 @@
     std::optional<Time> primaryLostAt_; ///< Time since which this VM may not use, or does not reach, the primary of the current epoch.
     std::uint64_t primaryLostEpoch_ = 0;
     PositionSamples samples_;
-    std::optional<LeaderClaim> seenClaim_; ///< Claim as last read from the store.
-    Time seenClaimChanged_; ///< Time when its current content was first read.
+    std::optional<LeaderClaim> storedClaim_; ///< Claim as last read from the store.
+    Time storedClaimChangedAt_; ///< Time when its current content was first read.
     Time claimEnds_; ///< End of the leader's claim according to its last heartbeat, based on the renewal below.
     std::uint64_t leaderGeneration_ = 0;
     std::uint64_t leaderRenewals_ = 0;
-    Time leaderHeard_;
+    Time lastLeaderHeartbeat_;
     std::optional<LeaderState> leader_; ///< Present while this VM is the leader.
     std::uint64_t resigned_ = 0; ///< Highest generation whose leader has resigned; its claim has ended even if the store still contains it.
     Time claimAfter_; ///< Earliest time at which this VM may claim leadership.
@@ -184,8 +184,9 @@
     Time authorityLostAt_; ///< Time when authority was last lost; the start of the process until it is first held.
     std::uint64_t heldEpoch_ = 0; ///< Epoch of the authority held last; zero before the first. Authority of a later epoch follows a replacement.
     QueueHistory queue_; ///< History of waiting_.
-    std::set<MemberId> residences_; ///< Members to which this VM keeps a persistent connection while connections are scarce: a replica, the primary, or both.
-    Time residenceReviewAt_; ///< Earliest time at which these members are chosen again.
+    std::set<MemberId>
+        persistentMembers_; ///< Members to which this VM keeps a persistent connection while connections are scarce: a replica, the primary, or both.
+    Time persistentMembersReviewAt_; ///< Earliest time at which these members are chosen again.
 };
 
 /** State of another entry VM as known to this one. */
@@ -195,22 +196,22 @@
     bool registered_ = false; ///< The store lists it.
     VmId listed_; ///< Incarnation listed in the store.
     std::uint64_t revision_ = 0;
-    std::optional<Time> heard_; ///< Receive time of its last heartbeat.
-    Time itsClock_; ///< Send time, by its clock, of the newest heartbeat received.
-    Time itsClockAt_; ///< The same time by this VM's clock; see sendingTime().
+    std::optional<Time> lastReceivedAt_; ///< Receive time of its last heartbeat.
+    Time remoteSendTime_; ///< Send time, by its clock, of the newest heartbeat received.
+    Time localSendTime_; ///< The same time by this VM's clock; see sendingTime().
     Duration clockOffset_{}; ///< Difference between receive time here and send time there, for the heartbeat with the shortest delay.
     ConfigVersion configuration_;
     Time configurationAfter_; ///< Earliest time at which its configuration is requested.
-    Duration itsInterval_ = heartbeatInterval; ///< Announced time until its next heartbeat to this VM.
+    Duration sendInterval_ = heartbeatInterval; ///< Announced time until its next heartbeat to this VM.
     bool leads_ = false; ///< Whether it leads some group.
     bool leaving_ = false;
-    std::optional<Time> sentTo_; ///< Time of the last heartbeat sent to it.
+    std::optional<Time> lastSentAt_; ///< Time of the last heartbeat sent to it.
     bool sendNow_ = false; ///< It has requested a heartbeat.
     std::map<ServiceId, GroupHeartbeat> groups_;
 };
 
 /** A pending call to the store. */
-struct StoreCallUnderWay
+struct PendingStoreCall
 {
     StoreRequest request_;
     std::string peer_;
@@ -218,7 +219,7 @@
 };
 
 /** A revision of the store up to which the configuration is known to be unchanged. */
-struct QuietRevision
+struct UnchangedRevision
 {
     std::uint64_t revision_ = 0;
     Time heardAt_;
@@ -246,7 +247,7 @@
     std::optional<CallId> claims_;
     std::optional<CallId> register_;
     bool reachable_ = true; ///< The store answered the last call.
-    Time answeredAskedAt_; ///< Time when the last call that the store answered was made.
+    Time lastAnsweredCallAt_; ///< Time when the last call that the store answered was made.
     Time unreachableSince_; ///< Time since which the store is unreachable.
 };
 
@@ -273,19 +274,19 @@
 };
 
 /** A pending request for permits to another VM. */
-struct PermitAsk
+struct PermitRequest
 {
     std::uint64_t number_ = 0;
-    unsigned wanted_ = 0; ///< Number of permits requested, for the first statements in the queue.
+    unsigned requested_ = 0; ///< Number of permits requested, for the first statements in the queue.
     std::string limiter_; ///< Name of the VM.
     Time sentAt_;
-    unsigned tries_ = 0; ///< Earlier attempts at the same limiter.
+    unsigned attempts_ = 0; ///< Earlier attempts at the same limiter.
 };
 /** Operations of one organisation that wait for permits. */
 struct PermitQueue
 {
     std::deque<SessionKey> waiting_; ///< Oldest first.
-    std::optional<PermitAsk> ask_;
+    std::optional<PermitRequest> pending_;
     Time notBefore_; ///< Earliest time of the next request, since no permit is available before.
 };
 /** The part of an organisation's quota that this VM may grant. */
@@ -293,23 +294,23 @@
 {
     TokenBucket bucket_;
     Time borrowedAt_; ///< Time of the last loan requests to other zones.
-    std::set<std::uint64_t> borrows_; ///< Numbers of the loan requests that are not answered yet.
+    std::set<std::uint64_t> pendingLoans_; ///< Numbers of the loan requests that are not answered yet.
 };
 /** An organisation that has reached its quota. */
-struct QuotaLimited
+struct ThrottledOrganisation
 {
     Time since_;
     Time lastAt_; ///< Time of the last refusal.
     std::uint64_t refused_ = 0; ///< Number of operations refused by this VM.
 };
 /** State of the enforcement of quotas; see OrganisationQuota.h. */
-struct QuotaBook
+struct AdmissionState
 {
     std::map<OrganisationId, PermitQueue> queues_;
     std::map<OrganisationId, Allowance> allowances_;
-    std::map<std::string, Time> silentSince_; ///< Time of the timeout for each VM that did not answer permit requests, until it sends a heartbeat again.
-    std::map<OrganisationId, QuotaLimited> limited_;
-    double partOfZone_ = 1; ///< Fraction of the zone's share that this VM may grant; updated by the periodic review, like the zones below.
+    std::map<std::string, Time> unresponsiveSince_; ///< Time of the timeout for each VM that did not answer permit requests, until it sends a heartbeat again.
+    std::map<OrganisationId, ThrottledOrganisation> throttled_;
+    double zoneShare_ = 1; ///< Fraction of the zone's share that this VM may grant; updated by the periodic review, like the zones below.
     std::set<ZoneId> zones_;
 };
 
@@ -319,29 +320,30 @@
     SessionIdentity identity_;
     std::optional<SessionConfiguration> configuration_;
     std::uint64_t configurationRevision_ = 0; ///< Watches and checks request the changes since this revision; zero: the complete configuration must be read.
-    std::optional<QuietRevision> quietRevision_; ///< Replaces the revision above after some time.
-    ConfigVersion newestHeard_; ///< Newest version among the configurations of other VMs.
+    std::optional<UnchangedRevision> unchangedRevision_; ///< Replaces the revision above after some time.
+    ConfigVersion newestReported_; ///< Newest version among the configurations of other VMs.
     ConfigurationDelay delay_;
     std::uint64_t directoryRevision_ = 0;
     std::set<std::string> unusableEntries_; ///< Directory entries that could not be used; each is logged once.
     bool directoryKnown_ = false;
-    std::uint64_t directoryMark_ = 0; ///< Fingerprint of the directory's content, equal on all VMs that know the same members; zero: no directory is known.
+    std::uint64_t directoryFingerprint_ =
+        0; ///< Fingerprint of the directory's content, equal on all VMs that know the same members; zero: no directory is known.
     std::map<SessionKey, ClientSession> sessions_;
     std::set<SessionKey> unaccepted_; ///< The sessions among these that are not accepted yet.
     std::map<ConnectionId, MemberConnection> connections_;
     std::map<MemberId, MemberState> members_;
     std::map<ServiceId, SessionGroup> groups_;
     std::map<std::string, PeerVm> peers_; ///< Other VMs by name.
-    std::map<CallId, StoreCallUnderWay> calls_;
-    QuotaBook quotas_;
+    std::map<CallId, PendingStoreCall> calls_;
+    AdmissionState quotas_;
     StoreSchedule schedule_;
     Time heartbeatsReviewAt_; ///< Time before which no heartbeat is due, except those requested at once.
     bool heartbeatNow_ = false;
     std::map<std::string, DelegateRole> delegates_; ///< Delegates of all zones that have many VMs, by name, possibly including this VM; see Delegates.h.
     Time delegatesReviewAt_; ///< Earliest time at which delegates are chosen again.
-    std::vector<std::string> awaited_; ///< Names of VMs that have requested a heartbeat; see PeerVm::sendNow_.
+    std::vector<std::string> heartbeatRequesters_; ///< Names of VMs that have requested a heartbeat; see PeerVm::sendNow_.
     std::vector<std::string> newVms_; ///< Names of VMs that are new or restarted and not logged yet.
-    Time newVmsToldAt_;
+    Time newVmsLoggedAt_;
     unsigned entryVms_ = 1; ///< Number of VMs that share the members' connections, updated by the periodic review because counting iterates over all VMs.
     Time startedAt_;
     OutageHistory outages_; ///< Outages of replaced primaries, of all groups.
--- a/src/SessionStatements.cpp
+++ b/src/SessionStatements.cpp
@@ -45,13 +45,13 @@
     }
     MemberConnection *connection = findConnection(state, *session.pinned_);
     if (connection == nullptr) {
-        refuse(state, session, ReplyCode::Aborted, "the connection of the transaction was lost", now, out);
+        refuseStatement(state, session, ReplyCode::Aborted, "the connection of the transaction was lost", now, out);
         return;
     }
     session.run_->connection_ = connection->id_;
     // The read position of a transaction was fixed when it began; only its writes still depend on which member is the primary.
     session.run_->usesPrimary_ = changesDatabase(session, *session.run_);
-    session.run_->tries_ = 1;
+    session.run_->attempts_ = 1;
     session.run_->member_ = connection->member_;
     session.run_->placedAt_ = now;
     connection->steps_ = stepsFor(session, *connection);
@@ -217,7 +217,7 @@
     }
 }
 
-bool isAtRest(const ClientSession &session)
+bool isSessionIdle(const ClientSession &session)
 {
     return !session.run_ && session.queued_.empty() && session.state_ == TransactionState::None;
 }
@@ -242,7 +242,7 @@
     if (session == nullptr) {
         return;
     }
-    leaveWaiting(state, *session);
+    dequeueStatement(state, *session);
     const std::optional<ConnectionId> connection = session->run_ && session->run_->connection_ ? session->run_->connection_ : session->pinned_;
     if (connection) {
         releaseMemberConnection(state, *connection, now, out);
@@ -258,17 +258,17 @@
     }
     const StatementRun &run = *session->run_;
     if (!run.sent_) {
-        refuse(state, *session, ReplyCode::Retry, comeBack(comeBackAfter, whyItWaits(state, *session, now)), now, out);
+        refuseStatement(state, *session, ReplyCode::Retry, retryAfterText(defaultRetryDelay, waitReason(state, *session, now)), now, out);
         return;
     }
     if (MemberState *member = findMember(state, run.member_)) {
-        ++member->silent_;
+        ++member->consecutiveTimeouts_;
     }
     if (session->state_ != TransactionState::None && run.statement_.kind_ != StatementKind::Commit) {
-        leaveOpen(state, *session, ReplyCode::Aborted, "a statement was not answered in time; the transaction is rolled back", now, out);
+        finishUnconfirmed(state, *session, ReplyCode::Aborted, "a statement was not answered in time; the transaction is rolled back", now, out);
         return;
     }
-    leaveOpen(state, *session, changesDatabase(*session, run) ? ReplyCode::InDoubt : ReplyCode::Timeout, "not answered in time", now, out);
+    finishUnconfirmed(state, *session, changesDatabase(*session, run) ? ReplyCode::InDoubt : ReplyCode::Timeout, "not answered in time", now, out);
 }
 
 void reviewSessions(ProxyState &state, Time now, Effects &out)
@@ -276,7 +276,7 @@
     std::vector<SessionKey> unanswered;
     std::vector<SessionKey> idle;
     for (const auto &[key, session] : state.sessions_->sessions_) {
-        const bool isMovableRead = state.sessions_->identity_.policies_.movesSilentReads_ && session.run_ && session.run_->sent_
+        const bool isMovableRead = state.sessions_->identity_.policies_.movesUnansweredReads_ && session.run_ && session.run_->sent_
                                    && session.state_ == TransactionState::None && !changesDatabase(session, *session.run_);
         if (isMovableRead && now - session.run_->sentAt_ > readTimeout && !session.run_->moved_) {
             unanswered.push_back(key);
@@ -292,11 +292,11 @@
         const MemberConnection *connection = findConnection(state, id);
         const MemberId member = connection == nullptr ? MemberId() : connection->member_;
         if (MemberState *unresponsiveMember = findMember(state, member)) {
-            ++unresponsiveMember->silent_;
+            ++unresponsiveMember->consecutiveTimeouts_;
         }
         closeMemberConnection(state, id, out);
         session.run_->moved_ = true;
-        tryAgain(state, session, member, "the member did not answer", now, out);
+        retryStatement(state, session, member, "the member did not answer", now, out);
     }
     for (const SessionKey key : idle) {
         ClientSession &session = *findSession(state, key);
--- a/src/SessionStatements.h
+++ b/src/SessionStatements.h
@@ -21,6 +21,6 @@
 /** Ends transactions that are idle for too long, and moves reads from unresponsive members to other members. */
 void reviewSessions(ProxyState &state, Time now, Effects &out);
 /** Whether the session has no statement in progress or queued and no open transaction. */
-bool isAtRest(const ClientSession &session);
+bool isSessionIdle(const ClientSession &session);
 
 } // namespace Figward
--- a/src/SessionTypes.h
+++ b/src/SessionTypes.h
@@ -64,7 +64,7 @@
 };
 
 /** Whether \p code guarantees that the statement did not run and had no effect. */
-constexpr bool promisesNotRun(ReplyCode code)
+constexpr bool guaranteesNotRun(ReplyCode code)
 {
     return code == ReplyCode::Retry || code == ReplyCode::Lagging || code == ReplyCode::ReadOnly || code == ReplyCode::Misrouted || code == ReplyCode::TooMany
            || code == ReplyCode::NoStatement;
--- a/src/Settings.cpp
+++ b/src/Settings.cpp
@@ -113,13 +113,13 @@
     const auto isOn = [&](std::string_view name) { return booleanField(*node, policiesObject, name); };
     policies.refusesWhenCutOff_ = isOn("refuse_when_cut_off");
     policies.refusesByForecast_ = isOn("refuse_by_forecast");
-    policies.unlistsWhenCutOff_ = isOn("unlist_when_cut_off");
-    policies.movesSilentReads_ = isOn("move_silent_reads");
-    policies.leavesRoom_ = isOn("leave_room");
-    policies.visits_ = isOn("visit");
-    policies.pausesLagging_ = isOn("pause_lagging");
+    policies.notReadyWhenCutOff_ = isOn("unlist_when_cut_off");
+    policies.movesUnansweredReads_ = isOn("move_silent_reads");
+    policies.keepsReserve_ = isOn("leave_room");
+    policies.usesTemporaryConnections_ = isOn("visit");
+    policies.skipsLagging_ = isOn("pause_lagging");
     policies.prefersOwnZone_ = isOn("prefer_own_zone");
-    policies.sparesPrimary_ = isOn("spare_primary");
+    policies.deprioritisesPrimary_ = isOn("spare_primary");
     policies.poolsQuota_ = isOn("pool_quotas");
     return policies;
 }
--- a/src/SharedCheck.cpp
+++ b/src/SharedCheck.cpp
@@ -61,7 +61,7 @@
 
 bool reliesOnLeaderChecks(const SessionServiceState &sessions, Time now)
 {
-    const auto readsForOthers = [&](const auto &entry) { return entry.second.leads_ && isFresh(entry.second, now); };
+    const auto readsForOthers = [&](const auto &entry) { return entry.second.leads_ && wasHeardRecently(entry.second, now); };
     return !isFullMesh(static_cast<unsigned>(sessions.peers_.size() + 1)) && !leadsAnyGroup(sessions) && std::ranges::any_of(sessions.peers_, readsForOthers);
 }
 
--- a/src/StatementAnswers.cpp
+++ b/src/StatementAnswers.cpp
@@ -23,12 +23,12 @@
     const bool harmless = session.state_ == TransactionState::Open && !changed;
     if (!isValid && changed) {
         // The statement ran at a member that may have been replaced meanwhile, so the new primary may lack its changes.
-        leaveOpen(state, session, ReplyCode::InDoubt, "the primary may have been replaced while it ran", now, out);
+        finishUnconfirmed(state, session, ReplyCode::InDoubt, "the primary may have been replaced while it ran", now, out);
         return;
     }
     if (!isValid && !harmless) {
         releaseMemberConnection(state, connection.id_, now, out);
-        tryAgain(state, session, MemberId(), "the primary may have been replaced while it ran", now, out);
+        retryStatement(state, session, MemberId(), "the primary may have been replaced while it ran", now, out);
         return;
     }
     if (changed && reply.position_) {
@@ -39,7 +39,7 @@
         endTransaction(session);
         releaseMemberConnection(state, connection.id_, now, out);
     }
-    finish(state, session, reply, now, out);
+    finishStatement(state, session, reply, now, out);
 }
 
 /** Records that the member refused a read because its log does not reach the required position. */
@@ -66,23 +66,23 @@
         recordLagging(state, session, connection, now);
     }
     const bool prepares = !isStatement(request);
-    if (prepares && !promisesNotRun(reply.code_)) {
+    if (prepares && !guaranteesNotRun(reply.code_)) {
         // The state of the connection is unknown, so it cannot be used for the session or any other.
         closeMemberConnection(state, connection.id_, out);
-        if (mayRunAgain(session)) {
-            tryAgain(state, session, member, toString(reply.code_), now, out);
+        if (isStatementRetryable(session)) {
+            retryStatement(state, session, member, toString(reply.code_), now, out);
         } else {
-            refuse(state, session, ReplyCode::Aborted, absl::StrCat("could not prepare the connection: ", toString(reply.code_)), now, out);
+            refuseStatement(state, session, ReplyCode::Aborted, absl::StrCat("could not prepare the connection: ", toString(reply.code_)), now, out);
         }
         return;
     }
-    if (promisesNotRun(reply.code_)) {
+    if (guaranteesNotRun(reply.code_)) {
         session.run_->sent_ = false; // The member guarantees that the statement did not run.
-        if (mayRunAgain(session)) {
+        if (isStatementRetryable(session)) {
             releaseMemberConnection(state, connection.id_, now, out);
-            tryAgain(state, session, member, toString(reply.code_), now, out);
+            retryStatement(state, session, member, toString(reply.code_), now, out);
         } else {
-            refuse(state, session, ReplyCode::Aborted, absl::StrCat("refused by the member: ", toString(reply.code_)), now, out);
+            refuseStatement(state, session, ReplyCode::Aborted, absl::StrCat("refused by the member: ", toString(reply.code_)), now, out);
         }
         return;
     }
@@ -92,7 +92,7 @@
     releaseMemberConnection(state, connection.id_, now, out);
     endTransaction(session);
     session.state_ = inTransaction && !ends ? TransactionState::Failed : TransactionState::None;
-    finish(state, session, reply, now, out);
+    finishStatement(state, session, reply, now, out);
 }
 
 } // namespace
@@ -126,17 +126,17 @@
         return;
     }
     StatementRun &run = *session->run_;
-    if (mayRunAgain(*session)) {
-        tryAgain(state, *session, member, "the connection to the member was lost", now, out);
+    if (isStatementRetryable(*session)) {
+        retryStatement(state, *session, member, "the connection to the member was lost", now, out);
         return;
     }
     run.connection_.reset();
     session->pinned_.reset();
     if (changesDatabase(*session, run)) {
-        leaveOpen(state, *session, ReplyCode::InDoubt, "the connection to the member was lost before its answer", now, out);
+        finishUnconfirmed(state, *session, ReplyCode::InDoubt, "the connection to the member was lost before its answer", now, out);
     } else {
         // The commit was never sent, or the transaction has no changes.
-        leaveOpen(state, *session, ReplyCode::Aborted, "the connection of the transaction was lost", now, out);
+        finishUnconfirmed(state, *session, ReplyCode::Aborted, "the connection of the transaction was lost", now, out);
     }
 }
 
@@ -157,11 +157,11 @@
         return true;
     }
     const MemberId member = connection.member_;
-    if (mayRunAgain(*session)) {
+    if (isStatementRetryable(*session)) {
         releaseMemberConnection(state, connection.id_, now, out);
-        tryAgain(state, *session, member, "the primary is being replaced", now, out);
+        retryStatement(state, *session, member, "the primary is being replaced", now, out);
     } else {
-        refuse(state, *session, ReplyCode::Aborted, "the primary is being replaced", now, out);
+        refuseStatement(state, *session, ReplyCode::Aborted, "the primary is being replaced", now, out);
     }
     return false;
 }
--- a/src/StatementDispatch.cpp
+++ b/src/StatementDispatch.cpp
@@ -42,37 +42,37 @@
     return findConnection(state, connection)->organisation_ == session.organisation_;
 }
 
-std::vector<PlacementOption> placementCandidates(ProxyState &state, const ClientSession &session, const SessionGroup &group, Time now)
+std::vector<PlacementCandidate> placementCandidates(ProxyState &state, const ClientSession &session, const SessionGroup &group, Time now)
 {
     const StatementRun &run = *session.run_;
     const bool primaryOnly = needsPrimary(session, run);
-    const std::optional<LogPoint> position = readFloor(session, group, now);
+    const std::optional<LogPoint> position = requiredReadPosition(session, group, now);
     const bool authority = holdsAuthority(group.authority_, now);
     const SessionPolicies &policies = state.sessions_->identity_.policies_;
-    std::vector<PlacementOption> candidates;
+    std::vector<PlacementCandidate> candidates;
     for (const MemberId &id : group.members_) {
         MemberState *member = findMember(state, id);
         const bool primary = authority && group.authority_.primary_ == id;
         if (member == nullptr || (!primary && (primaryOnly || !position)) || !acceptsStatements(*member, primary, now)) {
             continue;
         }
-        if (!primary && run.avoided_.contains(id)) {
+        if (!primary && run.excludedMembers_.contains(id)) {
             continue;
         }
-        PlacementOption candidate{.member_ = id};
-        candidate.busy_ = static_cast<unsigned>(member->connections_.size() - member->idle_.size());
+        PlacementCandidate candidate{.member_ = id};
+        candidate.activeStatements_ = static_cast<unsigned>(member->connections_.size() - member->idle_.size());
         candidate.sameZone_ = !policies.prefersOwnZone_ || member->entry_.zone_ == state.sessions_->identity_.vm_.zone_;
         candidate.leaving_ = member->entry_.leaving_;
         candidate.primary_ = primary;
-        candidate.spared_ = primary && policies.sparesPrimary_;
-        candidate.lagging_ = policies.pausesLagging_ && !primary && member->laggedBehind_ && position && *position >= *member->laggedBehind_
+        candidate.deprioritised_ = primary && policies.deprioritisesPrimary_;
+        candidate.lagging_ = policies.skipsLagging_ && !primary && member->laggedBehind_ && position && *position >= *member->laggedBehind_
                              && now - member->laggedAt_ < laggingAvoidTime;
-        candidate.suspect_ = isInDoubt(*member) || (member->refusedAt_ && now - *member->refusedAt_ < fullAvoidTime);
+        candidate.unavailable_ = isUnavailable(*member) || (member->refusedAt_ && now - *member->refusedAt_ < fullAvoidTime);
         const auto matching = std::ranges::count_if(member->idle_, [&](ConnectionId connection) { return isForOrganisation(state, connection, session); });
         candidate.idleConnection_ = matching > 0;
         const bool hasIdleOfOthers = std::cmp_less(matching, member->idle_.size());
         const ConnectionPlan plan = planFor(*state.sessions_, *member, now);
-        candidate.visited_ = plan.visits_;
+        candidate.temporaryConnections_ = plan.temporary_;
         const bool hasRoom = member->connections_.size() < connectionsAllowed(plan, now - run.arrived_);
         candidate.mayOpen_ = (hasRoom || hasIdleOfOthers) && now >= member->openAfter_;
         candidates.push_back(candidate);
@@ -103,10 +103,10 @@
     connection.session_ = session.key_;
     run.connection_ = connection.id_;
     run.usesPrimary_ = authority;
-    run.after_ = authority ? std::nullopt : readFloor(session, group, now);
+    run.after_ = authority ? std::nullopt : requiredReadPosition(session, group, now);
     run.member_ = connection.member_;
-    run.placedAt_ = run.tries_ == 0 ? now : run.placedAt_;
-    ++run.tries_;
+    run.placedAt_ = run.attempts_ == 0 ? now : run.placedAt_;
+    ++run.attempts_;
     if (session.state_ != TransactionState::None) {
         session.pinned_ = connection.id_;
     }
@@ -119,12 +119,12 @@
  * many seconds. A statement held until its timeout would be refused when its client has no time left to try another VM: in a cut of 20 s, at 450 statements a
  * second, about 2,000 statements were held for 980 ms each.
  */
-bool isUnservable(const ProxyState &state, const SessionGroup &group, const std::vector<PlacementOption> &candidates, Time now)
+bool isUnservable(const ProxyState &state, const SessionGroup &group, const std::vector<PlacementCandidate> &candidates, Time now)
 {
     const SessionServiceState &sessions = *state.sessions_;
     const bool noneReachable =
-        std::ranges::none_of(candidates, [&](const PlacementOption &candidate) { return !candidate.primary_ || reachesPrimary(sessions, group, now); });
-    return noneReachable && sessions.identity_.policies_.refusesWhenCutOff_ && (sessions.cutOff_ || isServedElsewhere(sessions, group, now));
+        std::ranges::none_of(candidates, [&](const PlacementCandidate &candidate) { return !candidate.primary_ || reachesPrimary(sessions, group, now); });
+    return noneReachable && sessions.identity_.policies_.refusesWhenCutOff_ && (sessions.cutOff_ || isPrimaryHeardElsewhere(sessions, group, now));
 }
 
 /** Forecast of the time until this VM may use a primary of the group; absent while it has one or cannot tell. */
@@ -135,12 +135,12 @@
     }
     const Duration elapsed = now - group.authorityLostAt_;
     const bool replaced = group.authority_.primary_ == MemberId(); // Revoked: its replacement is being chosen or promoted.
-    return replaced ? outageLeft(sessions.outages_, elapsed) : WaitForecast{elapsed, false};
+    return replaced ? remainingOutage(sessions.outages_, elapsed) : WaitForecast{elapsed, false};
 }
 
 /** Forecast of the wait of a statement behind \p ahead others; absent if nothing is known. */
 std::optional<WaitForecast>
-forecastWait(const ProxyState &state, const SessionGroup &group, const std::vector<PlacementOption> &candidates, unsigned ahead, Time now)
+forecastWait(const ProxyState &state, const SessionGroup &group, const std::vector<PlacementCandidate> &candidates, unsigned ahead, Time now)
 {
     if (!state.sessions_->identity_.policies_.refusesByForecast_) {
         return std::nullopt;
@@ -148,29 +148,29 @@
     if (candidates.empty()) {
         return forecastPrimary(*state.sessions_, group, now);
     }
-    const bool anyIdle = std::ranges::any_of(candidates, &PlacementOption::idleConnection_);
-    return anyIdle ? std::nullopt : queueLeft(group.queue_, ahead, now);
+    const bool anyIdle = std::ranges::any_of(candidates, &PlacementCandidate::idleConnection_);
+    return anyIdle ? std::nullopt : remainingQueueTime(group.queue_, ahead, now);
 }
 
 /** Refuses the statement if no member is reachable or expected to run it before its deadline. Returns true if it was refused. */
 bool refuseUnservable(ProxyState &state,
                       const SessionGroup &group,
                       ClientSession &session,
-                      const std::vector<PlacementOption> &candidates,
+                      const std::vector<PlacementCandidate> &candidates,
                       unsigned ahead,
                       Time now,
                       Effects &out)
 {
     if (isUnservable(state, group, candidates, now)) {
-        refuse(state, session, ReplyCode::Retry, comeBack(cutOffRetryDelay, "this VM is cut off from the members that may run it"), now, out);
+        refuseStatement(state, session, ReplyCode::Retry, retryAfterText(cutOffRetryDelay, "this VM is cut off from the members that may run it"), now, out);
         return true;
     }
     const StatementRun &run = *session.run_;
     const std::optional<WaitForecast> forecast = forecastWait(state, group, candidates, ahead, now);
-    if (!forecast || isWorthWaiting(*forecast, run.deadline_ - answerMargin, run.deadline_ - run.arrived_, now)) {
+    if (!forecast || shouldWait(*forecast, run.deadline_ - answerMargin, run.deadline_ - run.arrived_, now)) {
         return false;
     }
-    refuse(state, session, ReplyCode::Retry, comeBack(forecast->left_, whyItWaits(state, session, now)), now, out);
+    refuseStatement(state, session, ReplyCode::Retry, retryAfterText(forecast->remaining_, waitReason(state, session, now)), now, out);
     return true;
 }
 
@@ -199,7 +199,7 @@
     if (now < session.run_->notBefore_) {
         return true;
     }
-    const std::vector<PlacementOption> candidates = placementCandidates(state, session, group, now);
+    const std::vector<PlacementCandidate> candidates = placementCandidates(state, session, group, now);
     if (refuseUnservable(state, group, session, candidates, ahead, now, out)) {
         return false;
     }
@@ -212,17 +212,17 @@
     }
     MemberState &member = *findMember(state, *placement.run_);
     std::erase(group.waiting_, session.key_);
-    noteStart(group.queue_, now);
-    noteUse(member.use_, now);
+    recordStart(group.queue_, now);
+    recordUse(member.use_, now);
     startStatement(state, session, *findConnection(state, takeIdle(state, member, session)), now, out);
     return false;
 }
 
 } // namespace
 
-std::string whyItWaits(ProxyState &state, const ClientSession &session, Time now)
+std::string waitReason(ProxyState &state, const ClientSession &session, Time now)
 {
-    if (waitsForPermit(*state.sessions_, session)) {
+    if (isAwaitingPermit(*state.sessions_, session)) {
         return "no VM that holds the organisation's quota has answered";
     }
     const SessionGroup *group = findGroup(state, session.route_.service_);
@@ -230,8 +230,8 @@
         return "no member of its group is known";
     }
     if (!placementCandidates(state, session, *group, now).empty()) {
-        return session.run_->tries_ == 0 ? "all connections to the members that may run it are in use"
-                                         : "the members that may run it refused it or were silent";
+        return session.run_->attempts_ == 0 ? "all connections to the members that may run it are in use"
+                                            : "the members that may run it refused it or were silent";
     }
     return needsPrimary(session, *session.run_) ? "no primary may be used at present" : "no member is known to be fresh enough";
 }
@@ -246,7 +246,7 @@
             ahead += dispatchStatement(state, group, *session, ahead, now, out) ? 1 : 0;
         }
     }
-    noteWaiting(group.queue_, !group.waiting_.empty(), now);
+    recordWaiting(group.queue_, !group.waiting_.empty(), now);
 }
 
 } // namespace Figward
--- a/src/StatementDispatch.h
+++ b/src/StatementDispatch.h
@@ -13,6 +13,6 @@
 /** Assigns connections to the waiting statements of \p group. */
 void dispatchStatements(ProxyState &state, SessionGroup &group, Time now, Effects &out);
 /** Reason why the statement of \p session is still waiting, for the client and the log. */
-std::string whyItWaits(ProxyState &state, const ClientSession &session, Time now);
+std::string waitReason(ProxyState &state, const ClientSession &session, Time now);
 
 } // namespace Figward
--- a/src/StatementLog.cpp
+++ b/src/StatementLog.cpp
@@ -47,7 +47,7 @@
                    {"database", session.database_},
                    {"outcome", std::move(outcome)},
                    {"reason", std::move(reason)},
-                   {"tries", absl::StrCat(run.tries_)},
+                   {"tries", absl::StrCat(run.attempts_)},
                    {"ms", absl::StrCat(toMillis(now - run.arrived_))},
                    {"wait_ms", millisBetween(run.placedAt_ == Time() ? Time() : run.arrived_, run.placedAt_)},
                    {"member_ms", millisBetween(run.sentAt_, now)}}};
@@ -63,7 +63,7 @@
 LogNumber numberOf(const StatementRun &run, ReplyCode code, Time now)
 {
     if (code == ReplyCode::None) {
-        const bool ordinary = run.tries_ <= 1 && now - run.arrived_ <= slowStatement;
+        const bool ordinary = run.attempts_ <= 1 && now - run.arrived_ <= slowStatement;
         return ordinary ? LogNumber::StatementDone : LogNumber::StatementSlow;
     }
     return code == ReplyCode::InDoubt ? LogNumber::StatementInDoubt : LogNumber::StatementRefused;
@@ -71,7 +71,7 @@
 
 } // namespace
 
-void tellOutcome(ProxyState &state, const ClientSession &session, const StatementRun &run, const SessionReply &reply, Time now, Effects &out)
+void logOutcome(ProxyState &state, const ClientSession &session, const StatementRun &run, const SessionReply &reply, Time now, Effects &out)
 {
     out.emplace_back(makeLogLine(state, session, run, numberOf(run, reply.code_, now), toString(reply.code_), reply.text_, now));
     StatementEnded ended;
@@ -79,14 +79,14 @@
     ended.writes_ = isWrite(session, run.statement_) || run.statement_.kind_ == StatementKind::Commit;
     ended.code_ = reply.code_;
     ended.usedPrimary_ = run.usesPrimary_;
-    ended.tries_ = run.tries_;
+    ended.attempts_ = run.attempts_;
     ended.total_ = now - run.arrived_;
     ended.waiting_ = (run.placedAt_ == Time() ? now : run.placedAt_) - run.arrived_;
     ended.atMember_ = run.sentAt_ == Time() ? std::nullopt : std::optional(now - run.sentAt_);
     out.emplace_back(SessionEffect(ended));
 }
 
-void tellRetry(ProxyState &state, const ClientSession &session, const std::string &reason, Time now, Effects &out)
+void logRetry(ProxyState &state, const ClientSession &session, const std::string &reason, Time now, Effects &out)
 {
     out.emplace_back(makeLogLine(state, session, *session.run_, LogNumber::StatementRetried, "retried", reason, now));
 }
--- a/src/StatementLog.h
+++ b/src/StatementLog.h
@@ -11,8 +11,8 @@
 struct ProxyState;
 
 /** Logs and counts the completed statement \p run, which was answered with \p reply. */
-void tellOutcome(ProxyState &state, const ClientSession &session, const StatementRun &run, const SessionReply &reply, Time now, Effects &out);
+void logOutcome(ProxyState &state, const ClientSession &session, const StatementRun &run, const SessionReply &reply, Time now, Effects &out);
 /** Logs that the current statement is retried at another member or later, and why. */
-void tellRetry(ProxyState &state, const ClientSession &session, const std::string &reason, Time now, Effects &out);
+void logRetry(ProxyState &state, const ClientSession &session, const std::string &reason, Time now, Effects &out);
 
 } // namespace Figward
--- a/src/StatementNeeds.cpp
+++ b/src/StatementNeeds.cpp
@@ -29,16 +29,16 @@
     return session.route_.consistency_ == Consistency::Primary || !session.readOnly_;
 }
 
-std::optional<LogPoint> readFloor(const ClientSession &session, const SessionGroup &group, Time now)
+std::optional<LogPoint> requiredReadPosition(const ClientSession &session, const SessionGroup &group, Time now)
 {
-    std::optional<LogPoint> floor = floorFor(group.samples_, session.route_.maxStaleness_, now);
+    std::optional<LogPoint> floor = requiredPosition(group.samples_, session.route_.maxStaleness_, now);
     if (floor && session.lastCommit_) {
         floor = std::max(*floor, *session.lastCommit_);
     }
     return floor;
 }
 
-bool mayRunAgain(const ClientSession &session)
+bool isStatementRetryable(const ClientSession &session)
 {
     const StatementRun &run = *session.run_;
     if (session.state_ == TransactionState::None) {
--- a/src/StatementNeeds.h
+++ b/src/StatementNeeds.h
@@ -14,8 +14,8 @@
 /** Whether only the primary may run the statement. */
 bool needsPrimary(const ClientSession &session, const StatementRun &run);
 /** Log position that a read of the session must include; absent if it is unknown, so that only the primary may serve the read. */
-std::optional<LogPoint> readFloor(const ClientSession &session, const SessionGroup &group, Time now);
+std::optional<LogPoint> requiredReadPosition(const ClientSession &session, const SessionGroup &group, Time now);
 /** Whether the current statement may be run again from its beginning. */
-bool mayRunAgain(const ClientSession &session);
+bool isStatementRetryable(const ClientSession &session);
 
 } // namespace Figward
--- a/src/StatementOutcome.cpp
+++ b/src/StatementOutcome.cpp
@@ -44,7 +44,7 @@
     sendReply(session, std::move(reply), out);
 }
 
-std::string comeBack(Duration delay, const std::string &reason)
+std::string retryAfterText(Duration delay, const std::string &reason)
 {
     return absl::StrCat("come back in ", toMillis(delay), " ms: ", reason);
 }
@@ -57,15 +57,15 @@
     session.readOnly_ = false;
 }
 
-void leaveWaiting(ProxyState &state, const ClientSession &session)
+void dequeueStatement(ProxyState &state, const ClientSession &session)
 {
-    leaveAdmission(*state.sessions_, session);
+    cancelAdmission(*state.sessions_, session);
     if (SessionGroup *group = findGroup(state, session.route_.service_)) {
         std::erase(group->waiting_, session.key_);
     }
 }
 
-void joinWaiting(ProxyState &state, ClientSession &session)
+void enqueueStatement(ProxyState &state, ClientSession &session)
 {
     SessionGroup *group = findGroup(state, session.route_.service_);
     if (group == nullptr) {
@@ -80,19 +80,19 @@
     group->waiting_.insert(place, session.key_);
 }
 
-void finish(ProxyState &state, ClientSession &session, SessionReply reply, Time now, Effects &out)
+void finishStatement(ProxyState &state, ClientSession &session, SessionReply reply, Time now, Effects &out)
 {
     const StatementRun run = *std::exchange(session.run_, std::nullopt);
-    tellOutcome(state, session, run, reply, now, out);
+    logOutcome(state, session, run, reply, now, out);
     sendReply(session, std::move(reply), out);
     takeNextStatement(state, session, now, out);
 }
 
-void refuse(ProxyState &state, ClientSession &session, ReplyCode code, std::string text, Time now, Effects &out)
+void refuseStatement(ProxyState &state, ClientSession &session, ReplyCode code, std::string text, Time now, Effects &out)
 {
     StatementRun &run = *session.run_;
     if (!run.connection_) {
-        leaveWaiting(state, session);
+        dequeueStatement(state, session);
     }
     if (const std::optional<ConnectionId> connection = run.connection_ ? run.connection_ : session.pinned_) {
         releaseMemberConnection(state, *connection, now, out);
@@ -106,10 +106,10 @@
     SessionReply reply;
     reply.code_ = code;
     reply.text_ = std::move(text);
-    finish(state, session, std::move(reply), now, out);
+    finishStatement(state, session, std::move(reply), now, out);
 }
 
-void leaveOpen(ProxyState &state, ClientSession &session, ReplyCode code, std::string text, Time now, Effects &out)
+void finishUnconfirmed(ProxyState &state, ClientSession &session, ReplyCode code, std::string text, Time now, Effects &out)
 {
     const std::optional<ConnectionId> connection = session.run_->connection_;
     if (connection && findConnection(state, *connection) != nullptr) {
@@ -122,23 +122,23 @@
     SessionReply reply;
     reply.code_ = code;
     reply.text_ = std::move(text);
-    finish(state, session, std::move(reply), now, out);
+    finishStatement(state, session, std::move(reply), now, out);
 }
 
-void tryAgain(ProxyState &state, ClientSession &session, const MemberId &avoided, const std::string &reason, Time now, Effects &out)
+void retryStatement(ProxyState &state, ClientSession &session, const MemberId &avoided, const std::string &reason, Time now, Effects &out)
 {
     StatementRun &run = *session.run_;
     run.connection_.reset();
     session.pinned_.reset();
     run.sent_ = false;
-    run.avoided_.insert(avoided);
+    run.excludedMembers_.insert(avoided);
     run.notBefore_ = now + retryDelay;
-    if (run.tries_ >= maxAttempts || run.notBefore_ + answerMargin >= run.deadline_) {
-        refuse(state, session, ReplyCode::Retry, comeBack(comeBackAfter, reason), now, out);
+    if (run.attempts_ >= maxAttempts || run.notBefore_ + answerMargin >= run.deadline_) {
+        refuseStatement(state, session, ReplyCode::Retry, retryAfterText(defaultRetryDelay, reason), now, out);
         return;
     }
-    tellRetry(state, session, reason, now, out);
-    joinWaiting(state, session);
+    logRetry(state, session, reason, now, out);
+    enqueueStatement(state, session);
 }
 
 } // namespace Figward
--- a/src/StatementOutcome.h
+++ b/src/StatementOutcome.h
@@ -19,25 +19,25 @@
 void answerError(const ClientSession &session, ReplyCode code, std::string text, Effects &out);
 
 /** Text of a refusal, which asks the client to retry after \p delay. */
-std::string comeBack(Duration delay, const std::string &reason);
+std::string retryAfterText(Duration delay, const std::string &reason);
 /** Retry delay given to clients by default: about the time that a primary's replacement takes while all VMs can reach each other. */
-constexpr Duration comeBackAfter = std::chrono::milliseconds(400);
+constexpr Duration defaultRetryDelay = std::chrono::milliseconds(400);
 
 /** Resets the transaction state of \p session. */
 void endTransaction(ClientSession &session);
 
 /** Queues the statement of \p session for a connection, ordered by priority of its route and then by deadline. */
-void joinWaiting(ProxyState &state, ClientSession &session);
+void enqueueStatement(ProxyState &state, ClientSession &session);
 /** Removes the statement of \p session from the queues for permits and connections, if it is in one. */
-void leaveWaiting(ProxyState &state, const ClientSession &session);
+void dequeueStatement(ProxyState &state, const ClientSession &session);
 
 /** Ends the statement with \p reply; the transaction state of the session must have been updated. */
-void finish(ProxyState &state, ClientSession &session, SessionReply reply, Time now, Effects &out);
+void finishStatement(ProxyState &state, ClientSession &session, SessionReply reply, Time now, Effects &out);
 /** Ends a statement that did not run with an error. An open transaction is rolled back. */
-void refuse(ProxyState &state, ClientSession &session, ReplyCode code, std::string text, Time now, Effects &out);
+void refuseStatement(ProxyState &state, ClientSession &session, ReplyCode code, std::string text, Time now, Effects &out);
 /** Ends a statement of which it is unknown whether it ran, or whose result the client must not rely on. Its connection is closed. */
-void leaveOpen(ProxyState &state, ClientSession &session, ReplyCode code, std::string text, Time now, Effects &out);
+void finishUnconfirmed(ProxyState &state, ClientSession &session, ReplyCode code, std::string text, Time now, Effects &out);
 /** Retries an operation at a member other than \p avoided. No part of it may have run that must not run twice. */
-void tryAgain(ProxyState &state, ClientSession &session, const MemberId &avoided, const std::string &reason, Time now, Effects &out);
+void retryStatement(ProxyState &state, ClientSession &session, const MemberId &avoided, const std::string &reason, Time now, Effects &out);
 
 } // namespace Figward
--- a/src/StatementPlacement.cpp
+++ b/src/StatementPlacement.cpp
@@ -25,27 +25,27 @@
 /** Time after which a waiting statement may use connections beyond those that may stay open while idle: about the work of one statement. */
 constexpr std::chrono::milliseconds reserveDelay(30);
 
-double primaryCostOf(const PlacementOption &candidate)
+double primaryCostOf(const PlacementCandidate &candidate)
 {
-    if (!candidate.spared_) {
+    if (!candidate.deprioritised_) {
         return 0;
     }
-    return candidate.visited_ ? temporaryPrimaryCost : primaryCost;
+    return candidate.temporaryConnections_ ? temporaryPrimaryCost : primaryCost;
 }
 
-double cost(const PlacementOption &candidate)
+double cost(const PlacementCandidate &candidate)
 {
-    return static_cast<double>(candidate.busy_) + (candidate.sameZone_ ? 0.0 : otherZoneCost) + primaryCostOf(candidate)
-           + (candidate.lagging_ ? laggingCost : 0.0) + (candidate.leaving_ ? leavingCost : 0.0) + (candidate.suspect_ ? unavailableCost : 0.0);
+    return static_cast<double>(candidate.activeStatements_) + (candidate.sameZone_ ? 0.0 : otherZoneCost) + primaryCostOf(candidate)
+           + (candidate.lagging_ ? laggingCost : 0.0) + (candidate.leaving_ ? leavingCost : 0.0) + (candidate.unavailable_ ? unavailableCost : 0.0);
 }
 
 } // namespace
 
-Placement placeStatement(absl::Span<const PlacementOption> candidates)
+Placement placeStatement(absl::Span<const PlacementCandidate> candidates)
 {
-    const PlacementOption *idle = nullptr;
-    const PlacementOption *open = nullptr;
-    for (const PlacementOption &candidate : candidates) {
+    const PlacementCandidate *idle = nullptr;
+    const PlacementCandidate *open = nullptr;
+    for (const PlacementCandidate &candidate : candidates) {
         if (candidate.idleConnection_ && (idle == nullptr || cost(candidate) < cost(*idle))) {
             idle = &candidate;
         }
@@ -65,8 +65,8 @@
 
 unsigned connectionsAllowed(const ConnectionPlan &plan, Duration waited)
 {
-    const bool isTemporary = plan.resting_ == 0;
-    return isTemporary || waited > reserveDelay ? plan.most_ : plan.resting_;
+    const bool isTemporary = plan.maxIdle_ == 0;
+    return isTemporary || waited > reserveDelay ? plan.maxOpen_ : plan.maxIdle_;
 }
 
 } // namespace Figward
--- a/src/StatementPlacement.h
+++ b/src/StatementPlacement.h
@@ -16,17 +16,17 @@
 namespace Figward {
 
 /** One member that may run a statement. */
-struct PlacementOption
+struct PlacementCandidate
 {
     MemberId member_;
-    unsigned busy_ = 0; ///< Number of statements of this VM that the member is running.
+    unsigned activeStatements_ = 0; ///< Number of statements of this VM that the member is running.
     bool sameZone_ = false;
     bool leaving_ = false;
     bool lagging_ = false; ///< Recently refused a read because its log did not reach this position or an earlier one.
-    bool suspect_ = false; ///< Unresponsive or unreachable, or recently refused a connection.
+    bool unavailable_ = false; ///< Unresponsive or unreachable, or recently refused a connection.
     bool primary_ = false;
-    bool spared_ = false; ///< The primary: other members are slightly preferred, to leave it capacity for statements that only it may run.
-    bool visited_ = false; ///< This VM has no share of the member's connections and uses temporary ones; see ConnectionPlan.h.
+    bool deprioritised_ = false; ///< The primary: other members are slightly preferred, to leave it capacity for statements that only it may run.
+    bool temporaryConnections_ = false; ///< This VM has no share of the member's connections and uses temporary ones; see ConnectionPlan.h.
     bool idleConnection_ = false;
     bool mayOpen_ = false; ///< This VM may open another connection to the member.
 };
@@ -39,7 +39,7 @@
 };
 
 /** Chooses among \p candidates, all of which may run the statement. */
-Placement placeStatement(absl::Span<const PlacementOption> candidates);
+Placement placeStatement(absl::Span<const PlacementCandidate> candidates);
 
 /** Maximum number of connections of this VM to one member for a statement that has waited for \p waited; at first only as many as may stay open while idle. */
 unsigned connectionsAllowed(const ConnectionPlan &plan, Duration waited);
--- a/src/StoreReads.cpp
+++ b/src/StoreReads.cpp
@@ -75,7 +75,7 @@
         PeerVm &peer = sessions.peers_[vm.name_];
         peer.registered_ = true;
         peer.listed_ = vm.incarnation_;
-        if (!peer.heard_) {
+        if (!peer.lastReceivedAt_) {
             peer.vm_.address_ = vm.address_;
             peer.vm_.zone_ = vm.zone_;
             peer.vm_.name_ = vm.name_;
@@ -88,14 +88,14 @@
     sessions.heartbeatNow_ = true;
 }
 
-void recordReachability(ProxyState &state, const StoreCallUnderWay &call, StoreResult result, Time now, Effects &out)
+void recordReachability(ProxyState &state, const PendingStoreCall &call, StoreResult result, Time now, Effects &out)
 {
     if (!call.peer_.empty() || std::holds_alternative<WatchConfiguration>(call.request_)) {
         return;
     }
     StoreSchedule &schedule = state.sessions_->schedule_;
     const bool answers = result != StoreResult::Refused && result != StoreResult::Unknown;
-    if (!answers && call.sentAt_ < schedule.answeredAskedAt_) {
+    if (!answers && call.sentAt_ < schedule.lastAnsweredCallAt_) {
         return; // A later call was answered; this one was sent on a connection that no longer responds.
     }
     if (answers != schedule.reachable_) {
@@ -105,7 +105,7 @@
         schedule.unreachableSince_ = now;
     }
     if (answers) {
-        schedule.answeredAskedAt_ = std::max(schedule.answeredAskedAt_, call.sentAt_);
+        schedule.lastAnsweredCallAt_ = std::max(schedule.lastAnsweredCallAt_, call.sentAt_);
     }
     schedule.reachable_ = answers;
 }
@@ -131,7 +131,7 @@
 {
     std::vector<std::string> addresses;
     for (const auto &[name, peer] : state.sessions_->peers_) {
-        if (isFresh(peer, now)) {
+        if (wasHeardRecently(peer, now)) {
             addresses.push_back(peer.vm_.address_);
         }
     }
@@ -144,7 +144,7 @@
 CallId callStore(ProxyState &state, StoreRequest request, Time now, Effects &out, const StoreSource &source)
 {
     StoreCall call;
-    call.id_ = CallId(takeId(state));
+    call.id_ = CallId(allocateId(state));
     call.timeout_ = source.peer_.empty() ? callTimeout : peerTimeout;
     if (concernsConfiguration(request)) {
         // A check may also return the whole configuration, so it gets the same time as a read. With a shorter timeout it would be repeated over and over on a
@@ -154,7 +154,7 @@
     }
     call.source_ = source;
     call.request_ = std::move(request);
-    state.sessions_->calls_.emplace(call.id_, StoreCallUnderWay{call.request_, source.peer_, now});
+    state.sessions_->calls_.emplace(call.id_, PendingStoreCall{call.request_, source.peer_, now});
     const CallId id = call.id_;
     out.emplace_back(SessionEffect(CallStore{std::move(call)}));
     return id;
@@ -183,7 +183,7 @@
     SessionServiceState &sessions = *state.sessions_;
     SharedCheck &check = sessions.schedule_.directoryCheck_;
     const Time askedAt = sendingTime(sessions, heartbeat, now) - *heartbeat.directoryAge_;
-    if (heartbeat.directoryMark_ == sessions.directoryMark_) {
+    if (heartbeat.directoryFingerprint_ == sessions.directoryFingerprint_) {
         recordCheck(check, askedAt);
         return;
     }
@@ -218,7 +218,7 @@
     if (found == state.sessions_->calls_.end()) {
         return;
     }
-    const StoreCallUnderWay call = found->second;
+    const PendingStoreCall call = found->second;
     state.sessions_->calls_.erase(found);
     clearPendingCall(state.sessions_->schedule_, answer.id_);
     recordReachability(state, call, answer.result_, now, out);
--- a/src/TimerService.cpp
+++ b/src/TimerService.cpp
@@ -14,7 +14,7 @@
     armed_.push({at, nextOrder_++, std::move(tag)});
 }
 
-std::vector<TimerTag> TimerService::takeDue(Time now)
+std::vector<TimerTag> TimerService::popExpired(Time now)
 {
     std::vector<TimerTag> due;
     while (!armed_.empty() && armed_.top().at_ <= now) {
--- a/src/TimerService.h
+++ b/src/TimerService.h
@@ -43,10 +43,10 @@
 class TimerService
 {
 public:
-    /** Arms a timer. takeDue() returns \p tag at the first call with a time not before \p at. */
+    /** Arms a timer. popExpired() returns \p tag at the first call with a time not before \p at. */
     void arm(Time at, TimerTag tag);
     /** Removes the timers that have expired at \p now and returns their tags, earliest first. */
-    std::vector<TimerTag> takeDue(Time now);
+    std::vector<TimerTag> popExpired(Time now);
     /** Expiry time of the next timer; nothing if none is armed. */
     [[nodiscard]] std::optional<Time> next() const;
     /** Number of armed timers. */
--- a/src/WaitForecast.cpp
+++ b/src/WaitForecast.cpp
@@ -24,7 +24,7 @@
 
 } // namespace
 
-void noteOutage(OutageHistory &history, Duration length)
+void recordOutage(OutageHistory &history, Duration length)
 {
     if (length < minOutage) {
         return;
@@ -35,18 +35,18 @@
     }
 }
 
-Duration typicalOutage(const OutageHistory &history)
+Duration expectedOutage(const OutageHistory &history)
 {
     return history.lengths_.empty() ? defaultOutage : std::ranges::max(history.lengths_);
 }
 
-WaitForecast outageLeft(const OutageHistory &history, Duration elapsed)
+WaitForecast remainingOutage(const OutageHistory &history, Duration elapsed)
 {
-    const Duration typical = typicalOutage(history);
+    const Duration typical = expectedOutage(history);
     return elapsed < typical ? WaitForecast{typical - elapsed, true} : WaitForecast{elapsed, false};
 }
 
-void noteStart(QueueHistory &history, Time now)
+void recordStart(QueueHistory &history, Time now)
 {
     history.stalledSince_ = now;
     history.starts_.push_back(now);
@@ -55,7 +55,7 @@
     }
 }
 
-void noteWaiting(QueueHistory &history, bool isWaiting, Time now)
+void recordWaiting(QueueHistory &history, bool isWaiting, Time now)
 {
     if (!isWaiting) {
         history.waitingSince_.reset();
@@ -66,7 +66,7 @@
     }
 }
 
-std::optional<WaitForecast> queueLeft(const QueueHistory &history, unsigned ahead, Time now)
+std::optional<WaitForecast> remainingQueueTime(const QueueHistory &history, unsigned ahead, Time now)
 {
     if (!history.waitingSince_ || now - *history.waitingSince_ < minQueueTime) {
         return std::nullopt;
@@ -80,9 +80,9 @@
     return WaitForecast{span * (ahead + 1) / started, true};
 }
 
-bool isWorthWaiting(const WaitForecast &forecast, Time deadline, Duration timeout, Time now)
+bool shouldWait(const WaitForecast &forecast, Time deadline, Duration timeout, Time now)
 {
-    return forecast.known_ ? now + forecast.left_ < deadline : forecast.left_ < timeout;
+    return forecast.known_ ? now + forecast.remaining_ < deadline : forecast.remaining_ < timeout;
 }
 
 } // namespace Figward
--- a/src/WaitForecast.h
+++ b/src/WaitForecast.h
@@ -21,14 +21,14 @@
 };
 
 /** Records that a primary was usable again after an outage of \p length. */
-void noteOutage(OutageHistory &history, Duration length);
+void recordOutage(OutageHistory &history, Duration length);
 /** Expected duration of an outage: the longest of the last few, or a default while none has been recorded. */
-Duration typicalOutage(const OutageHistory &history);
+Duration expectedOutage(const OutageHistory &history);
 
 /** Forecast of the remaining wait of a statement. */
 struct WaitForecast
 {
-    Duration left_{};
+    Duration remaining_{};
     bool known_ = true; ///< If false, the end is unknown: the first field is how long the cause has lasted, and it may last as long again.
     bool operator==(const WaitForecast &) const = default;
 };
@@ -37,7 +37,7 @@
  * Forecast of the remaining duration of an outage that has lasted for \p elapsed. Up to the expected duration, it is the rest of that. A longer outage has
  * another cause, such as an unreachable store, and its end is unknown.
  */
-WaitForecast outageLeft(const OutageHistory &history, Duration elapsed);
+WaitForecast remainingOutage(const OutageHistory &history, Duration elapsed);
 
 /** State of a queue of statements that wait for connections, and its recent throughput. */
 struct QueueHistory
@@ -48,20 +48,20 @@
 };
 
 /** Records that a statement was started at a member. */
-void noteStart(QueueHistory &history, Time now);
+void recordStart(QueueHistory &history, Time now);
 /** Records whether statements are waiting; must be called whenever that may have changed. */
-void noteWaiting(QueueHistory &history, bool isWaiting, Time now);
+void recordWaiting(QueueHistory &history, bool isWaiting, Time now);
 /**
  * Forecast of the time until the queue reaches a statement behind \p ahead others, from its throughput in the last second; absent if statements have not been
  * waiting for long enough to measure it. For a stalled queue the end is unknown.
  */
-std::optional<WaitForecast> queueLeft(const QueueHistory &history, unsigned ahead, Time now);
+std::optional<WaitForecast> remainingQueueTime(const QueueHistory &history, unsigned ahead, Time now);
 
 /**
  * Whether a statement with the given deadline and total timeout should wait. A known remaining wait is compared with the time left until the
  * deadline. If the end is unknown, the time that the cause has lasted is compared with the total timeout: statements that arrive early wait in case it ends,
  * and statements that arrive after it has lasted longer than their timeout do not.
  */
-bool isWorthWaiting(const WaitForecast &forecast, Time deadline, Duration timeout, Time now);
+bool shouldWait(const WaitForecast &forecast, Time deadline, Duration timeout, Time now);
 
 } // namespace Figward
--- a/src/WireHeartbeat.cpp
+++ b/src/WireHeartbeat.cpp
@@ -26,7 +26,7 @@
 {
     out.set_group(group.group_.value());
     out.set_epoch(group.epoch_);
-    out.set_primary_heard(group.primaryHeard_ ? micros(*group.primaryHeard_) + 1 : 0);
+    out.set_primary_heard(group.primaryAnswerAge_ ? micros(*group.primaryAnswerAge_) + 1 : 0);
     if (group.sample_) {
         out.set_sample_term(group.sample_->term_.value());
         out.set_sample_position(group.sample_->position_.value());
@@ -46,7 +46,7 @@
     out.set_steady(group.phase_ == ClaimPhase::Steady);
     out.set_primary(group.primary_.value());
     out.set_term(group.term_.value());
-    out.set_claim_left(micros(group.claimLeft_));
+    out.set_claim_left(micros(group.claimRemaining_));
     out.set_renewals(group.renewals_);
 }
 
@@ -56,7 +56,7 @@
     group.group_ = ServiceId(in.group());
     group.epoch_ = in.epoch();
     if (in.primary_heard() != 0) {
-        group.primaryHeard_ = duration(in.primary_heard() - 1);
+        group.primaryAnswerAge_ = duration(in.primary_heard() - 1);
     }
     if (in.sample_term() != 0) {
         group.sample_ = LogPoint{Term(in.sample_term()), Position(in.sample_position())};
@@ -67,7 +67,7 @@
     group.phase_ = in.steady() ? ClaimPhase::Steady : ClaimPhase::Replacing;
     group.primary_ = MemberId(in.primary());
     group.term_ = Term(in.term());
-    group.claimLeft_ = duration(in.claim_left());
+    group.claimRemaining_ = duration(in.claim_left());
     group.renewals_ = in.renewals();
     group.resigned_ = in.resigned();
     if (in.authority_age() != 0) {
@@ -90,13 +90,13 @@
     if (in.configuration_age() != 0) {
         heartbeat.configurationAge_ = duration(in.configuration_age() - 1);
     }
-    heartbeat.directoryMark_ = in.directory_mark();
+    heartbeat.directoryFingerprint_ = in.directory_mark();
     if (in.directory_age() != 0) {
         heartbeat.directoryAge_ = duration(in.directory_age() - 1);
     }
     heartbeat.interval_ = in.interval() == 0 ? heartbeatInterval : duration(in.interval());
     heartbeat.leaving_ = in.leaving();
-    heartbeat.answerNow_ = in.answer_now();
+    heartbeat.replyAtOnce_ = in.answer_now();
     for (const v1::GroupBeat &group : in.groups()) {
         heartbeat.groups_.push_back(decodeGroup(group));
     }
@@ -109,7 +109,7 @@
     AdmissionRequest request{in.name(), VmId(in.incarnation()), in.address(), ZoneId(in.zone()), OrganisationId(body.organisation())};
     request.number_ = body.number();
     request.wanted_ = std::clamp(body.wanted(), 0.0, maxPermits);
-    request.lends_ = body.lends();
+    request.isLoan_ = body.lends();
     return request;
 }
 
@@ -136,11 +136,11 @@
     out.set_echo_of(heartbeat.echoOf_.value());
     out.set_configuration(heartbeat.configuration_.value());
     out.set_configuration_age(heartbeat.configurationAge_ ? micros(*heartbeat.configurationAge_) + 1 : 0);
-    out.set_directory_mark(heartbeat.directoryMark_);
+    out.set_directory_mark(heartbeat.directoryFingerprint_);
     out.set_directory_age(heartbeat.directoryAge_ ? micros(*heartbeat.directoryAge_) + 1 : 0);
     out.set_interval(micros(heartbeat.interval_));
     out.set_leaving(heartbeat.leaving_);
-    out.set_answer_now(heartbeat.answerNow_);
+    out.set_answer_now(heartbeat.replyAtOnce_);
     for (const GroupHeartbeat &group : heartbeat.groups_) {
         encodeGroup(group, *out.add_groups());
     }
@@ -158,7 +158,7 @@
     body.set_organisation(request.organisation_.value());
     body.set_number(request.number_);
     body.set_wanted(request.wanted_);
-    body.set_lends(request.lends_);
+    body.set_lends(request.isLoan_);
     return out.SerializeAsString();
 }
 
--- a/test/correctness/ConnectionsAreShared.cpp
+++ b/test/correctness/ConnectionsAreShared.cpp
@@ -14,15 +14,15 @@
 constexpr unsigned limit = 36;
 constexpr unsigned vms = 77;
 
-std::vector<HomeCandidate> threeMembers()
+std::vector<MemberLocation> threeMembers()
 {
     return {{MemberId("i-1"), ZoneId("a")}, {MemberId("i-2"), ZoneId("b")}, {MemberId("i-3"), ZoneId("c")}};
 }
 
 /** VMs in four availability zones, the last of which has no member. */
-std::vector<HomeSeeker> vmsInZones()
+std::vector<VmLocation> vmsInZones()
 {
-    std::vector<HomeSeeker> all;
+    std::vector<VmLocation> all;
     for (unsigned vm = 0; vm < vms; ++vm) {
         all.push_back({VmId(1000 + vm), ZoneId(std::string(1, static_cast<char>('a' + vm % 4)))});
     }
@@ -30,14 +30,14 @@
 }
 
 /** Number of persistent connections to each member if every VM decides for itself. */
-std::map<MemberId, unsigned> persistentConnections(const std::vector<HomeSeeker> &all)
+std::map<MemberId, unsigned> persistentConnections(const std::vector<VmLocation> &all)
 {
     std::map<MemberId, unsigned> counts;
-    for (const HomeSeeker &self : all) {
-        std::vector<HomeSeeker> others = all;
-        std::erase_if(others, [&](const HomeSeeker &other) { return other.vm_ == self.vm_; });
-        const MemberId home = *homeOf(self, threeMembers());
-        counts[home] += isResident(self, home, others, threeMembers(), mostResidents(limit)) ? 1 : 0;
+    for (const VmLocation &self : all) {
+        std::vector<VmLocation> others = all;
+        std::erase_if(others, [&](const VmLocation &other) { return other.vm_ == self.vm_; });
+        const MemberId home = *assignedMember(self, threeMembers());
+        counts[home] += keepsPersistentConnection(self, home, others, threeMembers(), maxPersistentConnections(limit)) ? 1 : 0;
     }
     return counts;
 }
@@ -48,7 +48,7 @@
  */
 double expectedIdle(unsigned members, unsigned vmsInAll, double perSecond)
 {
-    const double rest = std::chrono::duration<double>(visitRest(members, vmsInAll, perSecond)).count();
+    const double rest = std::chrono::duration<double>(temporaryIdleTimeout(members, vmsInAll, perSecond)).count();
     return vmsInAll * (1 - std::exp(-perSecond * rest));
 }
 
@@ -57,8 +57,8 @@
 TEST(ConnectionsAreShared, evenlyWhileThereAreEnough)
 {
     const ConnectionPlan plan = planConnections({.limit_ = 22, .vms_ = 7});
-    EXPECT_EQ(plan.most_, 3U);
-    EXPECT_EQ(plan.resting_, 1U);
+    EXPECT_EQ(plan.maxOpen_, 3U);
+    EXPECT_EQ(plan.maxIdle_, 1U);
     EXPECT_FALSE(areConnectionsScarce(22, 7));
     EXPECT_TRUE(areConnectionsScarce(limit, 22)) << "a single connection per VM would be taken up by the first idle transaction";
 }
@@ -75,9 +75,9 @@
 
 TEST(ConnectionsAreShared, byMembersOfTheOwnZoneWhereThereIsOne)
 {
-    EXPECT_EQ(homeOf({VmId(7), ZoneId("b")}, threeMembers()), MemberId("i-2"));
-    EXPECT_NE(homeOf({VmId(7), ZoneId("d")}, threeMembers()), std::nullopt);
-    EXPECT_EQ(homeOf({VmId(7), ZoneId("d")}, {}), std::nullopt);
+    EXPECT_EQ(assignedMember({VmId(7), ZoneId("b")}, threeMembers()), MemberId("i-2"));
+    EXPECT_NE(assignedMember({VmId(7), ZoneId("d")}, threeMembers()), std::nullopt);
+    EXPECT_EQ(assignedMember({VmId(7), ZoneId("d")}, {}), std::nullopt);
 }
 
 // All VMs use a member through temporary connections, together 3 to 3,000 times a second. For any number of VMs and uses, idle temporary connections must fit
@@ -87,7 +87,7 @@
 {
     for (const unsigned all : {22U, 59U, 77U, 100U, 300U, 530U}) {
         for (const double perSecond : {0.01, 0.1, 1.0, 10.0}) {
-            EXPECT_LE(expectedIdle(limit, all, perSecond), limit - mostResidents(limit)) << all << " VMs, each " << perSecond;
+            EXPECT_LE(expectedIdle(limit, all, perSecond), limit - maxPersistentConnections(limit)) << all << " VMs, each " << perSecond;
         }
         EXPECT_GE(expectedIdle(limit, all, 1.0), limit / 5.0) << all << " VMs: too few idle connections to be reused";
     }
@@ -99,7 +99,7 @@
     Time now{std::chrono::seconds(100)};
     for (unsigned use = 0; use < 300; ++use) {
         now += std::chrono::milliseconds(100);
-        noteUse(rate, now);
+        recordUse(rate, now);
     }
     EXPECT_NEAR(usesPerSecond(rate, now), 10.0, 0.5);
     EXPECT_LT(usesPerSecond(rate, now + std::chrono::seconds(20)), 0.5) << "a past burst should no longer count";
--- a/test/correctness/OrganisationsAreToldApart.cpp
+++ b/test/correctness/OrganisationsAreToldApart.cpp
@@ -76,8 +76,8 @@
     ASSERT_TRUE(read.ok() && read->organisations_);
     EXPECT_EQ(read->organisations_->limits_.at(OrganisationId("acme")), (OrganisationLimits{17.5, 20}));
     EXPECT_THAT(read->organisations_->keys_, SizeIs(2));
-    EXPECT_EQ(*holderOf(*read->organisations_, digestOf("second-secret")), OrganisationId("acme"));
-    EXPECT_EQ(holderOf(*read->organisations_, digestOf("third-secret")), nullptr);
+    EXPECT_EQ(*organisationOfKey(*read->organisations_, digestOf("second-secret")), OrganisationId("acme"));
+    EXPECT_EQ(organisationOfKey(*read->organisations_, digestOf("third-secret")), nullptr);
 }
 
 TEST(OrganisationsAreToldApart, aDigestSurvivesItsText)
@@ -92,11 +92,11 @@
 TEST(OrganisationsAreToldApart, whatVmsPassOnHoldsDigestsInPlaceOfKeys)
 {
     boost::json::value configuration = boost::json::parse(privateConfiguration);
-    Platform::hideKeys(configuration);
+    Platform::replaceKeysByDigests(configuration);
     EXPECT_THAT(boost::json::serialize(configuration), Not(HasSubstr("secret")));
     const absl::StatusOr<SessionConfiguration> read = Platform::readConfiguration(configuration);
     ASSERT_TRUE(read.ok() && read->organisations_);
-    EXPECT_EQ(*holderOf(*read->organisations_, digestOf("first-secret")), OrganisationId("acme"));
+    EXPECT_EQ(*organisationOfKey(*read->organisations_, digestOf("first-secret")), OrganisationId("acme"));
 }
 
 // Guards against keys that are sent to a member: it must receive only the organisation's name.
--- a/test/correctness/PlatformDayOverLoopback.cpp
+++ b/test/correctness/PlatformDayOverLoopback.cpp
@@ -8,7 +8,7 @@
 // database is added, the primary crashes and a proxy is shut down. The answers must agree with the members' logs, and writes may stall for a few seconds only.
 TEST(PlatformDayOverLoopback, keepsItsPromises)
 {
-    const absl::StatusOr<PlatformDemoResult> result = playPlatformDemo();
+    const absl::StatusOr<PlatformDemoResult> result = runPlatformDemo();
     ASSERT_TRUE(result.ok()) << result.status();
     EXPECT_TRUE(promisesKept(*result)) << describe(*result);
     EXPECT_GT(result->acknowledgedWrites_, 100U) << describe(*result);
--- a/test/correctness/StatementsArePlaced.cpp
+++ b/test/correctness/StatementsArePlaced.cpp
@@ -7,10 +7,10 @@
 
 namespace {
 
-PlacementOption option(const char *member, unsigned busy, bool sameZone)
+PlacementCandidate option(const char *member, unsigned busy, bool sameZone)
 {
-    PlacementOption option{.member_ = MemberId(member)};
-    option.busy_ = busy;
+    PlacementCandidate option{.member_ = MemberId(member)};
+    option.activeStatements_ = busy;
     option.sameZone_ = sameZone;
     option.idleConnection_ = true;
     return option;
@@ -26,7 +26,7 @@
 
 TEST(StatementsArePlaced, atAMemberThatLagsOnlyWhenTheOthersAreFarBusier)
 {
-    PlacementOption lagging = option("near", 0, true);
+    PlacementCandidate lagging = option("near", 0, true);
     lagging.lagging_ = true;
     EXPECT_EQ(placeStatement(std::vector{lagging, option("far", 4, false)}).run_, MemberId("far"));
     EXPECT_EQ(placeStatement(std::vector{lagging, option("far", 14, false)}).run_, MemberId("near"));
@@ -34,7 +34,7 @@
 
 TEST(StatementsArePlaced, byOpeningAConnectionWhereNoneIsIdle)
 {
-    PlacementOption busy = option("near", 3, true);
+    PlacementCandidate busy = option("near", 3, true);
     busy.idleConnection_ = false;
     busy.mayOpen_ = true;
     EXPECT_EQ(placeStatement(std::vector{busy}).open_, MemberId("near"));
@@ -50,10 +50,10 @@
     constexpr unsigned limit = 34;
     constexpr unsigned vms = 8;
     const ConnectionPlan plan = planConnections({.limit_ = limit, .vms_ = vms});
-    EXPECT_EQ(plan.most_, 4U);
+    EXPECT_EQ(plan.maxOpen_, 4U);
     const unsigned ordinary = connectionsAllowed(plan, std::chrono::milliseconds(0));
     EXPECT_LE(2 * ordinary * vms, limit);
-    EXPECT_EQ(connectionsAllowed(plan, std::chrono::milliseconds(40)), plan.most_) << "a burst may use the whole share";
+    EXPECT_EQ(connectionsAllowed(plan, std::chrono::milliseconds(40)), plan.maxOpen_) << "a burst may use the whole share";
     EXPECT_EQ(connectionsAllowed(planConnections({.limit_ = 3, .vms_ = vms}), std::chrono::milliseconds(0)), 3U)
         << "a temporary connection is opened without delay";
 }
--- a/test/error/PlatformInputIsMalformed.cpp
+++ b/test/error/PlatformInputIsMalformed.cpp
@@ -141,7 +141,7 @@
                                                                                    {R"("seq":4)", R"("seq":4,"born":"then")"}}) {
         EXPECT_FALSE(parseMember(replaced(goodMember, from, to)).has_value()) << to;
     }
-    EXPECT_EQ(parseMember(replaced(goodMember, R"("seq":4)", R"("seq":4,"born":1700000000000)"))->bornMillis_, 1700000000000);
+    EXPECT_EQ(parseMember(replaced(goodMember, R"("seq":4)", R"("seq":4,"born":1700000000000)"))->startedMillis_, 1700000000000);
 }
 
 // The parsers must accept or reject arbitrary bytes without crashing the process.
--- a/test/error/PromoterFailsBetweenSteps.cpp
+++ b/test/error/PromoterFailsBetweenSteps.cpp
@@ -75,8 +75,8 @@
         if (answered == nullptr || proxy != first || lost > 0) {
             return;
         }
-        const auto call = state.controls_.find(answered->answer_.id_);
-        if (call != state.controls_.end() && std::holds_alternative<Promote>(call->second.body_)) {
+        const auto call = state.outstandingControls_.find(answered->answer_.id_);
+        if (call != state.outstandingControls_.end() && std::holds_alternative<Promote>(call->second.body_)) {
             answered->answer_ = {.id_ = answered->answer_.id_, .result_ = ControlResult::Failed};
             ++lost;
         }
--- a/test/error/SessionConnectionsAreScarce.cpp
+++ b/test/error/SessionConnectionsAreScarce.cpp
@@ -90,7 +90,7 @@
 TEST(SessionConnectionsAreScarce, aShareOfOneForEachLeavesThePrimaryToReports)
 {
     SessionPolicies policies;
-    policies.visits_ = false;
+    policies.usesTemporaryConnections_ = false;
     const RunResult result = runLoad(59, 1, 1, policies);
     EXPECT_LT(result.records_, 0.1);
     EXPECT_GT(result.refused_, 1000U);
--- a/test/error/SessionKeysAreTakenAway.cpp
+++ b/test/error/SessionKeysAreTakenAway.cpp
@@ -87,7 +87,7 @@
     world.configurationTakes(std::chrono::milliseconds(500));
     world.newConfiguration(
         [](SessionConfiguration &configuration) { configuration.organisations_->keys_[digestOf("key-new")] = SessionWorld::organisationId(0); });
-    world.vm(0).sessions_->newestHeard_ = ConfigVersion(world.vm(0).sessions_->configuration_->version_.value() + 1);
+    world.vm(0).sessions_->newestReported_ = ConfigVersion(world.vm(0).sessions_->configuration_->version_.value() + 1);
     const std::size_t client = world.open(0, "ledger", "key-new");
     world.run(std::chrono::milliseconds(20));
     EXPECT_FALSE(world.client(client).refused_);
--- a/test/error/SessionVmsAreMany.cpp
+++ b/test/error/SessionVmsAreMany.cpp
@@ -145,7 +145,7 @@
         for (unsigned vm = 0; vm < 24; ++vm) {
             const SessionGroup &group = world.vm(vm).sessions_->groups_.begin()->second;
             unnamed = unnamed || group.authority_.primary_ == MemberId();
-            ASSERT_FALSE(group.residences_.contains(MemberId())) << "vm " << vm;
+            ASSERT_FALSE(group.persistentMembers_.contains(MemberId())) << "vm " << vm;
         }
     }
     EXPECT_TRUE(unnamed);
--- a/test/performance/FleetMeasureConfiguration.cpp
+++ b/test/performance/FleetMeasureConfiguration.cpp
@@ -22,12 +22,12 @@
 {
     FleetTuning watch;
     watch.watchersPerZone_ = 10'000;
-    watch.newsFanOut_ = 0;
+    watch.updateFanOut_ = 0;
     watch.heartbeatInterval_ = hours(1);
     FleetTuning push;
     push.heartbeatInterval_ = hours(1);
     FleetTuning digest;
-    digest.newsFanOut_ = 0;
+    digest.updateFanOut_ = 0;
     return {{"all watch", watch}, {"version pushed on messages", push}, {"heartbeats only", digest}, {"push and heartbeats (chosen)", {}}};
 }
 
--- a/test/performance/FleetMeasureSlopes.cpp
+++ b/test/performance/FleetMeasureSlopes.cpp
@@ -80,7 +80,7 @@
             CheckedConfiguration checked = checkConfiguration(text);
             checked.configuration_->version_ = ConfigVersion(10 + i);
             Effects out;
-            adoptConfiguration(state, std::move(*checked.configuration_), fleet.now(), out);
+            activateConfiguration(state, std::move(*checked.configuration_), fleet.now(), out);
         });
         std::printf("| %u | %.2f | %.2f | %.2f |\n", vms, each, list / 1000, configuration / 1000);
         std::fflush(stdout);
@@ -115,7 +115,7 @@
         CheckedConfiguration checked = checkConfiguration(text);
         checked.configuration_->version_ = ConfigVersion(1);
         Effects out;
-        adoptConfiguration(*state, std::move(*checked.configuration_), Time(), out);
+        activateConfiguration(*state, std::move(*checked.configuration_), Time(), out);
         return state;
     });
     slope("owned group of 3 members, no connection yet", {4, 16, 64, 256}, [](unsigned services) {
@@ -123,7 +123,7 @@
         CheckedConfiguration checked = checkConfiguration(configurationText(services, 1));
         checked.configuration_->version_ = ConfigVersion(1);
         Effects out;
-        adoptConfiguration(*state, std::move(*checked.configuration_), Time(), out);
+        activateConfiguration(*state, std::move(*checked.configuration_), Time(), out);
         return state;
     });
     slope("VM in the list", {66, 132, 265, 530}, [](unsigned vms) {
--- a/test/performance/ReducerThroughput.cpp
+++ b/test/performance/ReducerThroughput.cpp
@@ -75,7 +75,7 @@
     {
         feed(Started{});
         Effects out;
-        adoptConfiguration(state_, manyGroups(groups), now_, out);
+        activateConfiguration(state_, manyGroups(groups), now_, out);
         perform(out);
         settle();
         pass(std::chrono::milliseconds(300));
--- a/test/support/LoopbackFleet.cpp
+++ b/test/support/LoopbackFleet.cpp
@@ -140,7 +140,7 @@
 
 void LoopbackFleet::configure(ProxyProcess &proxy)
 {
-    proxy.run([this](ProxyState &state, Time now, Effects &out) { adoptConfiguration(state, configuration(), now, out); });
+    proxy.run([this](ProxyState &state, Time now, Effects &out) { activateConfiguration(state, configuration(), now, out); });
 }
 
 ProxyProcess &LoopbackFleet::addProxy(const std::string &zone)
--- a/test/support/ScriptedProxy.cpp
+++ b/test/support/ScriptedProxy.cpp
@@ -40,7 +40,7 @@
     }
     feed(Started{});
     Effects out;
-    adoptConfiguration(state_, smallConfiguration(), now_, out);
+    activateConfiguration(state_, smallConfiguration(), now_, out);
     for (const Effect &effect : out) {
         perform(effect);
     }
--- a/test/support/SessionLoad.cpp
+++ b/test/support/SessionLoad.cpp
@@ -156,7 +156,7 @@
     if (!world_.client(client).closed_) {
         world_.close(client);
     }
-    const bool mayAskAgain = promisesNotRun(code) || code == ReplyCode::Aborted || !operation.writes_;
+    const bool mayAskAgain = guaranteesNotRun(code) || code == ReplyCode::Aborted || !operation.writes_;
     if (!mayAskAgain || operation.attempts_ == mostAttempts) {
         return;
     }
--- a/test/support/SessionWorldClients.cpp
+++ b/test/support/SessionWorldClients.cpp
@@ -126,7 +126,7 @@
     if (done && !effect.reply_.rows_.empty()) {
         checkRead(*client, answer);
     }
-    if (promisesNotRun(effect.reply_.code_) || effect.reply_.code_ == ReplyCode::Aborted) {
+    if (guaranteesNotRun(effect.reply_.code_) || effect.reply_.code_ == ReplyCode::Aborted) {
         promisedNotRun_.insert(id);
     }
     if (!done) {
