--- a/test/support/SessionWorldOrganisations.cpp
+++ b/test/support/SessionWorldOrganisations.cpp
@@ -28,7 +28,7 @@
 void SessionWorld::checkOrganisation(unsigned vm, const SendToMember &effect, const SessionReply &reply)
 {
     const auto asked = askedBy_.find(effect.request_.id_);
-    if (asked == askedBy_.end() || promisesNotRun(reply.code_)) {
+    if (asked == askedBy_.end() || guaranteesNotRun(reply.code_)) {
         return;
     }
     const OrganisationId &told = vms_[vm].callers_.at(effect.connection_);
--- a/test/support/World.cpp
+++ b/test/support/World.cpp
@@ -254,7 +254,7 @@
     for (ProxyIndex proxy = 0; proxy < proxies_.size(); ++proxy) {
         if (proxies_[proxy].state_) {
             Effects effects;
-            adoptConfiguration(*proxies_[proxy].state_, configuration, now_ + proxies_[proxy].clockOffset_, effects);
+            activateConfiguration(*proxies_[proxy].state_, configuration, now_ + proxies_[proxy].clockOffset_, effects);
             for (const Effect &effect : effects) {
                 execute(proxy, effect);
             }
@@ -384,7 +384,7 @@
     booted.waiting_.clear();
     deliver(proxy, booted.vm_.id_, Started{});
     Effects effects;
-    adoptConfiguration(*booted.state_, configuration_, now_ + booted.clockOffset_, effects);
+    activateConfiguration(*booted.state_, configuration_, now_ + booted.clockOffset_, effects);
     for (const Effect &effect : effects) {
         execute(proxy, effect);
     }
