--- a/src/ApplyRun.h
+++ b/src/ApplyRun.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines how an apply is carried out against the platform, call by call, until it has ended.
+ * Defines the execution of an apply: it makes the platform calls of a ConfigurationApply one by one until there is a result.
  */
 #pragma once
 
@@ -8,7 +8,7 @@
 
 namespace Figward {
 
-/** Applies \p text, which checkConfiguration() has accepted, and waits for the end; seconds if the platform is away. */
+/** Applies \p text, which checkConfiguration() must have accepted, and waits for the result. This takes seconds if the platform is unreachable. */
 ApplyResult runApply(PlatformCaller &platform, std::string_view text, std::optional<ConfigVersion> expected);
 
 } // namespace Figward
--- a/src/Command.cpp
+++ b/src/Command.cpp
@@ -16,7 +16,7 @@
 {
     std::error_code ignored;
     std::ifstream in(path, std::ios::binary);
-    // A directory can be opened and only fails, with an exception, when it is read.
+    // Opening a directory succeeds; only reading it fails, with an exception.
     if (!in || std::filesystem::is_directory(path, ignored)) {
         std::cerr << path << ": cannot be read\n";
         exitWith(ExitCode::BadInput);
@@ -27,8 +27,8 @@
 void exitIfProblems(const std::string &file, absl::Span<const TextProblem> problems)
 {
     for (const TextProblem &problem : problems) {
-        const std::string_view place = problem.pointer_.empty() ? "(whole text)" : std::string_view(problem.pointer_);
-        std::cerr << file << ':' << problem.line_ << ':' << problem.column_ << ": " << place << ": " << toString(problem.kind_) << ": " << problem.detail_
+        const std::string_view location = problem.pointer_.empty() ? "(whole text)" : std::string_view(problem.pointer_);
+        std::cerr << file << ':' << problem.line_ << ':' << problem.column_ << ": " << location << ": " << toString(problem.kind_) << ": " << problem.detail_
                   << '\n';
     }
     if (!problems.empty()) {
--- a/src/Command.h
+++ b/src/Command.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines the frame of the command line: one function a command adds it to the application, and the exit codes that all commands share.
+ * Defines the command line: the functions that add one command each to the application, and the exit codes that all commands share.
  */
 #pragma once
 
@@ -11,28 +11,28 @@
 
 namespace Figward {
 
-/** What a command's exit code tells a script. */
+/** Exit codes of the commands, for scripts. */
 enum class ExitCode : int {
     Ok = 0,
-    Failure = 1, ///< The command could not do its work, or a promise was broken.
-    BadInput = 2, ///< Options, a file or a text in it are wrong; nothing was done.
-    Conflict = 3, ///< Another operator's configuration came first; nothing was changed.
-    PlatformUnreachable = 4, ///< Proved that nothing was changed.
-    Unknown = 5, ///< An answer was lost; what became of the change could not be found out.
+    Failure = 1, ///< The command failed, or a consistency guarantee was violated.
+    BadInput = 2, ///< Invalid options, or a file is unreadable or has invalid content; nothing was done.
+    Conflict = 3, ///< Another operator's configuration was accepted first; nothing was changed.
+    PlatformUnreachable = 4, ///< The platform is unreachable; it is certain that nothing was changed.
+    Unknown = 5, ///< An answer was lost; whether the change took effect could not be determined.
 };
 
-/** Runs the command that \p argv names; returns the exit code. */
+/** Runs the command given in \p argv; returns the exit code. */
 int runCommandLine(int argc, const char *const *argv);
 
-/** Ends the command at once; to be called from a command's callback. */
+/** Ends the command at once by an exception. Must be called from a command's callback. */
 [[noreturn]] void exitWith(ExitCode code);
 
-/** Contents of the file at \p path. Prints a line and ends the command with BadInput if it cannot be read. */
+/** Returns the content of the file at \p path. If it cannot be read, prints an error and ends the command with BadInput. */
 std::string readFileOrExit(const std::string &path);
-/** Prints one line "FILE:LINE:COLUMN: POINTER: message" for each problem to standard error; ends the command with BadInput if there is one. */
+/** Prints a line "FILE:LINE:COLUMN: POINTER: KIND: message" to standard error for each problem; ends the command with BadInput if there is any. */
 void exitIfProblems(const std::string &file, absl::Span<const TextProblem> problems);
 
-/** Each adds one command to \p app. */
+/** Each of these functions adds one command to \p app. */
 void addApplyCommand(CLI::App &app);
 void addCheckCommand(CLI::App &app);
 void addServeCommand(CLI::App &app);
--- a/src/CommandDemo.cpp
+++ b/src/CommandDemo.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-constexpr unsigned shortest = 5; ///< Below, the steps of the schedule overlap.
-constexpr unsigned longest = 3600;
+constexpr unsigned minSeconds = 5; ///< In a shorter run, the steps of the schedule would overlap.
+constexpr unsigned maxSeconds = 3600;
 
 struct CommandOptions
 {
@@ -27,7 +27,7 @@
     return records.reads_ == 0 ? 0 : static_cast<double>(records.replicaReads_) / static_cast<double>(records.reads_);
 }
 
-std::string asJson(const DemoResult &result)
+std::string resultToJson(const DemoResult &result)
 {
     const LoadRecords &records = result.records_;
     return boost::json::serialize(boost::json::object{
@@ -50,7 +50,7 @@
     });
 }
 
-void printForPeople(const DemoResult &result)
+void printReport(const DemoResult &result)
 {
     std::cout << describe(result.records_) << "longest stall of writes: " << result.failoverGapPlatformUp_.count() << " ms (platform up), "
               << result.failoverGapPlatformDown_.count() << " ms (platform down)\n"
@@ -61,21 +61,21 @@
               << (promisesKept(result) ? "every promise was kept\n" : "A PROMISE WAS BROKEN\n");
 }
 
-void demoOnPlatform()
+void runPlatformDemo()
 {
     const absl::StatusOr<Platform::PlatformDemoResult> result = Platform::playPlatformDemo();
     if (!result.ok()) {
-        std::cerr << "the demonstration could not be run: " << result.status().ToString() << '\n';
+        std::cerr << "the demo could not be run: " << result.status().ToString() << '\n';
         exitWith(ExitCode::Failure);
     }
     std::cout << Platform::describe(*result);
     exitWith(Platform::promisesKept(*result) ? ExitCode::Ok : ExitCode::Failure);
 }
 
-void demo(const CommandOptions &options)
+void runDemoCommand(const CommandOptions &options)
 {
     if (options.platform_) {
-        demoOnPlatform();
+        runPlatformDemo();
     }
     DemoOptions demoOptions;
     demoOptions.length_ = std::chrono::seconds(options.seconds_);
@@ -83,13 +83,13 @@
     demoOptions.narration_ = options.json_ ? nullptr : &std::cout;
     const absl::StatusOr<DemoResult> result = runDemo(demoOptions);
     if (!result.ok()) {
-        std::cerr << "the demonstration could not be run: " << result.status().ToString() << '\n';
+        std::cerr << "the demo could not be run: " << result.status().ToString() << '\n';
         exitWith(ExitCode::Failure);
     }
     if (options.json_) {
-        std::cout << asJson(*result) << '\n';
+        std::cout << resultToJson(*result) << '\n';
     } else {
-        printForPeople(*result);
+        printReport(*result);
     }
     exitWith(promisesKept(*result) ? ExitCode::Ok : ExitCode::Failure);
 }
@@ -100,11 +100,11 @@
 {
     auto options = std::make_shared<CommandOptions>();
     CLI::App *command = app.add_subcommand("demo", "Run proxies, stand-ins and a load in this process, with faults on a stated schedule");
-    command->add_option("--seconds", options->seconds_, "Length of the load")->check(CLI::Range(shortest, longest))->capture_default_str();
+    command->add_option("--seconds", options->seconds_, "Length of the load")->check(CLI::Range(minSeconds, maxSeconds))->capture_default_str();
     command->add_flag("--json", options->json_, "Print one JSON object instead of a report");
     command->add_option("--log-prefix", options->logPrefix_, "Write the log of each proxy to a file whose name begins so");
     command->add_flag("--platform", options->platform_, "Play a fixed short day of database sessions on a stand-in of the users' platform instead");
-    command->callback([options] { demo(*options); });
+    command->callback([options] { runDemoCommand(*options); });
 }
 
 } // namespace Figward
--- a/src/CommandLoad.cpp
+++ b/src/CommandLoad.cpp
@@ -28,13 +28,13 @@
 {
     for (const std::string &address : addresses) {
         if (!isAddress(address)) {
-            std::cerr << "--proxy: " << address << " is no IP number and port\n";
+            std::cerr << "--proxy: " << address << " is not an IP address and port\n";
             exitWith(ExitCode::BadInput);
         }
     }
 }
 
-LoadPlan planFrom(const CommandOptions &options)
+LoadPlan makeLoadPlan(const CommandOptions &options)
 {
     LoadPlan plan = options.plan_;
     plan.service_ = ServiceId(options.service_);
@@ -51,7 +51,7 @@
 void load(const CommandOptions &options)
 {
     checkAddresses(options.proxies_);
-    const LoadPlan plan = planFrom(options);
+    const LoadPlan plan = makeLoadPlan(options);
     ProxyDirectory proxies(options.proxies_);
     std::atomic<bool> stopping = false;
     std::thread timer([&] {
@@ -62,7 +62,7 @@
     timer.join();
     std::cout << describe(records);
     if (records.statements_ > 0 && records.reads_ + acknowledgedWrites(records) == 0) {
-        std::cerr << "no statement was done\n";
+        std::cerr << "no statement succeeded\n";
         exitWith(ExitCode::Failure);
     }
     exitWith(records.staleReads_ == 0 ? ExitCode::Ok : ExitCode::Failure);
--- a/src/CommandServe.cpp
+++ b/src/CommandServe.cpp
@@ -26,7 +26,7 @@
         readFileOrExit(files->certificateFile_), readFileOrExit(files->keyFile_), files->caFile_.empty() ? std::string() : readFileOrExit(files->caFile_)};
 }
 
-ProxyOptions optionsOf(const Settings &settings, std::shared_ptr<LogPort> log)
+ProxyOptions makeProxyOptions(const Settings &settings, std::shared_ptr<LogPort> log)
 {
     ProxyOptions options;
     options.zone_ = settings.zone_;
@@ -45,11 +45,11 @@
 VmId newIncarnation()
 {
     std::random_device device;
-    constexpr std::uint64_t positive = 0x7fffffffffffffff; // Fits into the signed numbers of JSON.
-    return VmId(((std::uint64_t(device()) << 32U) | device()) & positive);
+    constexpr std::uint64_t positiveMask = 0x7fffffffffffffff; // Keeps the value within the signed 64-bit integers of JSON.
+    return VmId(((std::uint64_t(device()) << 32U) | device()) & positiveMask);
 }
 
-Platform::PlatformOptions platformOptionsOf(const Settings &settings, std::shared_ptr<LogPort> log)
+Platform::PlatformOptions makePlatformOptions(const Settings &settings, std::shared_ptr<LogPort> log)
 {
     Platform::PlatformOptions options;
     options.identity_.vm_ = EntryVm{settings.sessions_->vmName_, newIncarnation(), settings.advertisedAddress_, settings.zone_};
@@ -66,11 +66,11 @@
     return options;
 }
 
-/** Runs \p proxy and then ends the process: the first signal asks for a graceful shutdown, the second ends it at once. */
+/** Runs \p proxy and then ends the process. The first signal starts a graceful shutdown; the second ends the process at once. */
 template<typename Proxy>
-[[noreturn]] void runToEnd(Proxy &proxy, LogWriter &log)
+[[noreturn]] void runUntilExit(Proxy &proxy, LogWriter &log)
 {
-    constexpr std::chrono::milliseconds lastLines(100); // A reader that reads takes them in less than one.
+    constexpr std::chrono::milliseconds flushTimeout(100); // An active log reader takes less than 1 ms.
     Signals signals;
     if (const absl::Status status = proxy.start(); !status.ok()) {
         std::cerr << "figward: " << status.message() << '\n';
@@ -78,30 +78,30 @@
     }
     signals.start([&proxy, count = 0]() mutable { ++count == 1 ? proxy.drain() : std::_Exit(static_cast<int>(ExitCode::Failure)); });
     proxy.awaitExit();
-    log.flush(lastLines);
-    // All that was asked has been answered, and the kernel sends what is left. Unwinding threads and libraries would only delay the next start: on VMs
-    // with a quarter of a core the process was still there when the platform killed it 4 s later.
+    log.flush(flushTimeout);
+    // All requests have been answered, and the kernel sends the remaining output. An orderly destruction of threads and libraries would only delay the
+    // next start: on VMs with a quarter of a core it was still running when the platform killed the process 4 s later.
     std::_Exit(static_cast<int>(ExitCode::Ok));
 }
 
-/** Reads the settings again when SIGHUP comes, and logs what became of them. */
-class SettingsReader
+/** Reloads the settings on SIGHUP and logs the result. */
+class SettingsReloader
 {
 public:
-    SettingsReader(std::string file, Settings settings, std::shared_ptr<LogWriter> log)
+    SettingsReloader(std::string file, Settings settings, std::shared_ptr<LogWriter> log)
         : file_(std::move(file))
         , settings_(std::move(settings))
         , log_(std::move(log))
     {
-        hangUps_.start([this] { readAgain(); });
+        hangupSignals_.start([this] { reloadFromFile(); });
     }
 
 private:
-    void readAgain()
+    void reloadFromFile()
     {
         std::ifstream in(file_, std::ios::binary);
         const SettingsReload reload = reloadSettings(settings_, std::string(std::istreambuf_iterator<char>(in), {}));
-        // The line is written at the level that lets more through: a change to "warning" would hide its own line.
+        // The event is logged at the more verbose of the two levels; otherwise a change to "warning" would suppress its own log line.
         const LogLevel level = reload.logLevelChanged_ ? reload.settings_->logLevel_ : settings_.logLevel_;
         log_->setLevel(std::min(level, settings_.logLevel_));
         log_->write(reload.number_, reload.fields_);
@@ -112,25 +112,25 @@
     std::string file_;
     Settings settings_;
     std::shared_ptr<LogWriter> log_;
-    Signals hangUps_{SIGHUP};
+    Signals hangupSignals_{SIGHUP};
 };
 
 void serve(const std::string &file)
 {
-    std::signal(SIGHUP, SIG_IGN); // Until there is a handler; it would end the process.
+    std::signal(SIGHUP, SIG_IGN); // Without a handler, which is installed below, the signal would end the process.
     const CheckedSettings checked = checkSettings(readFileOrExit(file));
     exitIfProblems(file, checked.problems_);
     const Settings &settings = *checked.settings_;
-    // What serves the users' platform logs to standard output, as is the custom there.
+    // On the users' platform, logs go to standard output by convention.
     const LogStream stream = settings.sessions_ ? LogStream::StandardOutput : LogStream::StandardError;
     const auto log = std::make_shared<LogWriter>(settings.name_, settings.logFile_, settings.logLevel_, stream);
-    const SettingsReader reader(file, settings, log);
+    const SettingsReloader reloader(file, settings, log);
     if (settings.sessions_) {
-        Platform::PlatformProxy proxy(platformOptionsOf(settings, log));
-        runToEnd(proxy, *log);
+        Platform::PlatformProxy proxy(makePlatformOptions(settings, log));
+        runUntilExit(proxy, *log);
     }
-    ProxyProcess proxy(optionsOf(settings, log));
-    runToEnd(proxy, *log);
+    ProxyProcess proxy(makeProxyOptions(settings, log));
+    runUntilExit(proxy, *log);
 }
 
 } // namespace
--- a/src/CommandStandin.cpp
+++ b/src/CommandStandin.cpp
@@ -16,7 +16,7 @@
 using Standin::PlatformModel;
 using Standin::PlatformStandinServer;
 
-/** Options of both stand-ins; times are in the unit that the name says. */
+/** Options of the stand-in of a database group. Times are in the unit that the name states. */
 struct GroupArguments
 {
     std::vector<std::string> addresses_{"127.0.0.1:7201", "127.0.0.1:7202", "127.0.0.1:7203"};
@@ -38,18 +38,18 @@
     double outageForSeconds_ = 0;
 };
 
-/** A fault that is brought about a while after the start. */
+/** A fault to inject at a given time after the start. */
 struct PlannedFault
 {
-    double afterSeconds_ = 0; ///< Zero: never.
-    std::function<void()> bringAbout_;
+    double afterSeconds_ = 0; ///< Zero means never.
+    std::function<void()> inject_;
 };
 
-/** Serves until a signal comes, and brings the faults about in their order meanwhile. */
+/** Runs until a signal arrives, and injects the faults in their order meanwhile. */
 void serveUntilSignal(const std::vector<PlannedFault> &faults)
 {
     const auto start = std::chrono::steady_clock::now();
-    std::jthread planner([&](const std::stop_token &stop) {
+    std::jthread faultInjector([&](const std::stop_token &stop) {
         for (const PlannedFault &fault : faults) {
             const auto at = start + std::chrono::duration<double>(fault.afterSeconds_);
             while (fault.afterSeconds_ > 0 && std::chrono::steady_clock::now() < at) {
@@ -60,7 +60,7 @@
                 }
             }
             if (fault.afterSeconds_ > 0) {
-                fault.bringAbout_();
+                fault.inject_();
             }
         }
     });
@@ -77,8 +77,8 @@
     std::cout << "listening at " << server.address() << std::endl;
 }
 
-/** The member that is primary in the highest term. */
-Standin::MemberIndex primaryOf(const GroupModel &model)
+/** Returns the running primary with the latest log position, which is the one of the highest term. */
+Standin::MemberIndex findPrimary(const GroupModel &model)
 {
     Standin::MemberIndex primary = 0;
     for (Standin::MemberIndex member = 0; member < model.size(); ++member) {
@@ -105,7 +105,7 @@
     Standin::MemberIndex killed = 0;
     const PlannedFault kill{arguments.killAfterSeconds_, [&] {
                                 server.run([&](GroupModel &model, Time now) {
-                                    killed = primaryOf(model);
+                                    killed = findPrimary(model);
                                     model.kill(killed, true, now);
                                 });
                             }};
--- a/src/CommandStatus.cpp
+++ b/src/CommandStatus.cpp
@@ -20,29 +20,29 @@
     bool json_ = false;
 };
 
-/** A zone's report, as stored and as read. */
+/** Status report of a zone: the stored text and the decoded report. */
 struct StoredReport
 {
     std::string text_;
     ZoneReport report_;
 };
 
-/** The answer, or the end of the command if the platform gives none. */
-PlatformAnswer mustAnswer(PlatformCaller &platform, PlatformBody body)
+/** Calls the platform and returns its answer. Ends the command if the platform does not answer. */
+PlatformAnswer callOrExit(PlatformCaller &platform, PlatformBody body)
 {
     PlatformAnswer answer = platform.call(std::move(body), callTimeout);
     if (answer.status_ == PlatformStatus::Unavailable || answer.status_ == PlatformStatus::Lost) {
-        std::cerr << "the platform cannot be reached; the proxies go on without it, their logs and metrics tell how\n";
+        std::cerr << "the platform is unreachable; the proxies continue without it. Their logs and metrics show their state.\n";
         exitWith(ExitCode::PlatformUnreachable);
     }
     return answer;
 }
 
-/** Availability zones in which the platform lists VMs. */
+/** Returns the availability zones in which the platform lists VMs. */
 std::set<ZoneId> listedZones(PlatformCaller &platform)
 {
     std::set<ZoneId> zones;
-    for (const VmInfo &vm : mustAnswer(platform, ListVms{}).vms_) {
+    for (const VmInfo &vm : callOrExit(platform, ListVms{}).vms_) {
         zones.insert(vm.zone_);
     }
     return zones;
@@ -52,14 +52,14 @@
 {
     std::vector<StoredReport> reports;
     for (const ZoneId &zone : listedZones(platform)) {
-        const PlatformAnswer answer = mustAnswer(platform, GetObject{statusPath(zone)});
+        const PlatformAnswer answer = callOrExit(platform, GetObject{statusPath(zone)});
         if (answer.status_ != PlatformStatus::Ok) {
             std::cerr << zone.value() << ": no report yet\n";
             continue;
         }
         absl::StatusOr<ZoneReport> report = decodeZoneReport(answer.value_);
         if (!report.ok()) {
-            std::cerr << zone.value() << ": its report cannot be read: " << report.status().message() << '\n';
+            std::cerr << zone.value() << ": the report is unreadable: " << report.status().message() << '\n';
             continue;
         }
         reports.push_back({answer.value_, *std::move(report)});
@@ -89,10 +89,10 @@
     std::cout << renderStatus(zones, static_cast<std::uint64_t>(now.count()));
 }
 
-void status(const StatusOptions &options)
+void runStatus(const StatusOptions &options)
 {
     if (!isAddress(options.platform_)) {
-        std::cerr << "--platform: " << options.platform_ << " is no IP number and port\n";
+        std::cerr << "--platform: " << options.platform_ << " is not an IP address and port\n";
         exitWith(ExitCode::BadInput);
     }
     PlatformCaller platform(options.platform_);
@@ -112,7 +112,7 @@
     CLI::App *command = app.add_subcommand("status", "Show what is wrong, since when, what figward did, and what to do");
     command->add_option("--platform", options->platform_, "Address of the platform's object API, IP:port")->required();
     command->add_flag("--json", options->json_, "Print the reports as stored, as one JSON object");
-    command->callback([options] { status(*options); });
+    command->callback([options] { runStatus(*options); });
 }
 
 } // namespace Figward
--- a/src/CommandTimeline.cpp
+++ b/src/CommandTimeline.cpp
@@ -15,8 +15,8 @@
 {
     std::vector<std::string> files_;
     std::string chromeFile_;
-    std::string request_; ///< Empty: all events.
-    unsigned aroundMillis_ = 2000; ///< A primary's replacement and what led to it fit into this.
+    std::string request_; ///< If empty, all events are printed.
+    unsigned aroundMillis_ = 2000; ///< Long enough for the replacement of a primary and the events that led to it.
 };
 
 TimeLine readLogs(const std::vector<std::string> &files)
@@ -34,13 +34,13 @@
 {
     TimeLine timeLine = readLogs(options.files_);
     if (!options.request_.empty()) {
-        TimeLine followed = followRequest(timeLine, options.request_, std::chrono::milliseconds(options.aroundMillis_));
-        if (followed.events_.empty()) {
-            std::cerr << "no line carries the id " << options.request_ << '\n';
+        TimeLine filtered = followRequest(timeLine, options.request_, std::chrono::milliseconds(options.aroundMillis_));
+        if (filtered.events_.empty()) {
+            std::cerr << "no log line has the id " << options.request_ << '\n';
             exitWith(ExitCode::BadInput);
         }
-        followed.unreadable_ = std::move(timeLine.unreadable_);
-        timeLine = std::move(followed);
+        filtered.unreadable_ = std::move(timeLine.unreadable_);
+        timeLine = std::move(filtered);
     }
     if (options.chromeFile_.empty()) {
         writeText(timeLine, std::cout);
@@ -54,7 +54,7 @@
         }
     }
     for (const UnreadableLine &line : timeLine.unreadable_) {
-        std::cerr << line.file_ << ':' << line.line_ << ": is no log line and was left out\n";
+        std::cerr << line.file_ << ':' << line.line_ << ": not a log line; skipped\n";
     }
     if (!timeLine.unreadable_.empty()) {
         exitWith(ExitCode::BadInput);
--- a/src/ConfigurationFields.cpp
+++ b/src/ConfigurationFields.cpp
@@ -17,28 +17,32 @@
 constexpr std::int64_t hourMillis = 60 * minuteMillis;
 constexpr std::int64_t dayMillis = 24 * hourMillis;
 
-/** An optional integer. */
-constexpr FieldInfo
-number(std::string_view name, std::string_view unit, std::string_view fallback, std::int64_t minimum, std::int64_t maximum, std::string_view meaning)
+/** Returns the schema of an optional integer field. */
+constexpr FieldInfo optionalInteger(std::string_view name,
+                                    std::string_view unit,
+                                    std::string_view defaultValue,
+                                    std::int64_t minimum,
+                                    std::int64_t maximum,
+                                    std::string_view meaning)
 {
-    return {name, FieldType::Integer, unit, false, fallback, minimum, maximum, meaning, nullptr};
+    return {name, FieldType::Integer, unit, false, defaultValue, minimum, maximum, meaning, nullptr};
 }
 
-/** A required field that is no integer. */
-constexpr FieldInfo required(std::string_view name, FieldType type, std::string_view meaning)
+/** Returns the schema of a required field that is not an integer. */
+constexpr FieldInfo requiredField(std::string_view name, FieldType type, std::string_view meaning)
 {
     return {name, type, "", true, "", 0, 0, meaning, nullptr};
 }
 
 constexpr std::array memberFields{
-    required("name", FieldType::Name, "Name of the member, unique in the whole configuration."),
-    required("zone", FieldType::Name, "Availability zone that the member stands in."),
-    required("address", FieldType::Address, "Where the member takes connections, unique in the whole configuration."),
+    requiredField("name", FieldType::Name, "Name of the member, unique in the whole configuration."),
+    requiredField("zone", FieldType::Name, "Availability zone in which the member runs."),
+    requiredField("address", FieldType::Address, "Address at which the member accepts connections, unique in the whole configuration."),
     FieldInfo{"leaving", FieldType::Boolean, "", false, "false", 0, 0, "A leaving member gets no new work; transactions that are open there finish.", nullptr},
 };
 
 constexpr std::array groupFields{
-    required("name", FieldType::Name, "Name of the database group, unique in the whole configuration; callers name it in each request."),
+    requiredField("name", FieldType::Name, "Name of the database group, unique in the whole configuration; callers name it in each request."),
     FieldInfo{"connection_limit",
               FieldType::Integer,
               "connections",
@@ -61,12 +65,12 @@
 };
 
 constexpr std::array classFields{
-    required("name", FieldType::Name, "Name of the class of work, unique in its service; callers name it in each request."),
-    number("priority", "", "0", 0, 100, "Waiting requests of a class with a lower number are served first."),
+    requiredField("name", FieldType::Name, "Name of the class of work, unique in its service; callers name it in each request."),
+    optionalInteger("priority", "", "0", 0, 100, "Waiting requests of a class with a lower number are served first."),
 };
 
 constexpr std::array serviceFields{
-    required("name", FieldType::Name, "Name of the service, unique in the whole configuration; callers name it in each request."),
+    requiredField("name", FieldType::Name, "Name of the service, unique in the whole configuration; callers name it in each request."),
     FieldInfo{"depends_on",
               FieldType::Names,
               "",
@@ -81,22 +85,27 @@
 };
 
 constexpr std::array policyFields{
-    number("owners_per_group", "proxies", "3", 1, 9, "Proxies that hold connections to a group; only these probe it and replace its primary."),
-    number("probe_interval_ms", "ms", "100", 10, minuteMillis, "Time between two probes of a member by the first owner in rank."),
-    number("slow_probe_interval_ms", "ms", "1000", 10, minuteMillis, "Time between two probes of a member by the other owners."),
-    number("probe_timeout_ms", "ms", "100", 1, minuteMillis, "A probe that is not answered within this time is missed."),
-    number("missed_probes", "probes", "3", 1, 100, "Probes missed in a row before a member is suspected."),
-    number("statement_timeout_ms", "ms", "2000", 10, hourMillis, "A statement that is unanswered for so long costs its connection."),
-    number("idle_connection_life_ms", "ms", "30000", 100, dayMillis, "A connection that is unused for so long is closed."),
-    number("queue_limit", "requests", "200", 1, 1'000'000, "Requests that wait at an owner of a group; more are refused at once."),
-    number("retry_budget_percent", "%", "20", 0, 100, "Retries allowed for each hundred fresh requests."),
-    number("key_retention_ms",
-           "ms",
-           "86400000",
-           minuteMillis,
-           366 * dayMillis,
-           "Idempotency keys of sessions older than this are forgotten; requests with such keys are refused."),
-    number("drain_timeout_ms", "ms", "30000", 0, hourMillis, "Transactions that are open at a draining proxy are rolled back after this."),
+    optionalInteger("owners_per_group", "proxies", "3", 1, 9, "Proxies that hold connections to a group; only these probe it and replace its primary."),
+    optionalInteger("probe_interval_ms", "ms", "100", 10, minuteMillis, "Time between two probes of a member by the first owner in rank."),
+    optionalInteger("slow_probe_interval_ms", "ms", "1000", 10, minuteMillis, "Time between two probes of a member by the other owners."),
+    optionalInteger("probe_timeout_ms", "ms", "100", 1, minuteMillis, "A probe that is not answered within this time counts as missed."),
+    optionalInteger("missed_probes", "probes", "3", 1, 100, "Probes missed in a row before a member is suspected."),
+    optionalInteger("statement_timeout_ms", "ms", "2000", 10, hourMillis, "The connection of a statement that is not answered within this time is closed."),
+    optionalInteger("idle_connection_life_ms", "ms", "30000", 100, dayMillis, "A connection that is idle for this time is closed."),
+    optionalInteger("queue_limit",
+                    "requests",
+                    "200",
+                    1,
+                    1'000'000,
+                    "Maximum number of requests that wait at an owner of a group; further requests are refused at once."),
+    optionalInteger("retry_budget_percent", "%", "20", 0, 100, "Retries allowed for every 100 new requests."),
+    optionalInteger("key_retention_ms",
+                    "ms",
+                    "86400000",
+                    minuteMillis,
+                    366 * dayMillis,
+                    "Idempotency keys of sessions older than this are forgotten; requests with such keys are refused."),
+    optionalInteger("drain_timeout_ms", "ms", "30000", 0, hourMillis, "Transactions that are open at a draining proxy are rolled back after this."),
 };
 
 constexpr std::array configurationFields{
--- a/src/ConfigurationFields.h
+++ b/src/ConfigurationFields.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines the fields of a configuration text; docs/CONFIGURATION.md shows the same rows and a test compares the two.
+ * Defines the schema of a configuration text. docs/CONFIGURATION.md contains the same table rows, and a test compares the two.
  */
 #pragma once
 
@@ -8,7 +8,7 @@
 
 namespace Figward {
 
-/** The whole text. */
+/** Schema of the root object. */
 extern const ObjectInfo configurationObject;
 extern const ObjectInfo policyObject;
 extern const ObjectInfo serviceObject;
@@ -16,7 +16,7 @@
 extern const ObjectInfo groupObject;
 extern const ObjectInfo memberObject;
 
-/** The policy that \p node describes; fields that are left out have their defaults. The node has passed checkObject(). */
+/** Reads a policy from \p node; absent fields get their defaults. The node must have passed checkObject(). */
 Policy readPolicy(const JsonNode &node);
 
 } // namespace Figward
--- a/src/ConfigurationRules.cpp
+++ b/src/ConfigurationRules.cpp
@@ -14,17 +14,17 @@
 
 namespace {
 
-/** Where values that have to be unique were seen first. */
-class UniqueTexts
+/** Reports duplicates among values that must be unique. */
+class UniqueValues
 {
 public:
-    UniqueTexts(std::string what, TextProblems &problems)
-        : what_(std::move(what))
+    UniqueValues(std::string description, TextProblems &problems)
+        : description_(std::move(description))
         , problems_(problems)
     {
     }
 
-    /** Notes the text \p field of \p object, if it has one. */
+    /** Checks the text \p field of \p object, if present. */
     void check(const JsonNode &object, std::string_view field, const std::string &pointer)
     {
         const JsonNode *value = findMember(object, field);
@@ -40,17 +40,17 @@
         }
         const auto [first, isNew] = firstPointers_.emplace(value.text_, pointer);
         if (!isNew) {
-            problems_.add(TextProblemKind::Duplicate, value.offset_, pointer, absl::StrCat("this ", what_, " already stands at ", first->second));
+            problems_.add(TextProblemKind::Duplicate, value.offset_, pointer, absl::StrCat("this ", description_, " is already used at ", first->second));
         }
     }
 
 private:
-    std::string what_;
+    std::string description_;
     TextProblems &problems_;
     std::map<std::string, std::string> firstPointers_;
 };
 
-/** A service's name and what it depends on, as far as the text gives them. */
+/** Name of a service and the services that it depends on, as far as the text defines them. */
 struct Dependencies
 {
     std::string name_;
@@ -58,7 +58,7 @@
     std::vector<std::string> pointers_;
 };
 
-/** Follows dependencies in depth; each circle is named once, at the entry that closes it. */
+/** Searches the dependencies depth-first for cycles. Each cycle is reported once, at the entry that closes it. */
 class CycleFinder
 {
 public:
@@ -66,17 +66,17 @@
         : problems_(problems)
     {
         for (const Dependencies &service : services) {
-            byName_.emplace(service.name_, &service);
+            servicesByName_.emplace(service.name_, &service);
         }
     }
 
     /**
-     * Visits all services. An explicit stack instead of recursion: a chain of as many services as a text may hold must not
+     * Visits all services. It uses an explicit stack instead of recursion, so that a dependency chain of the maximum number of services cannot
      * exhaust the thread's stack.
      */
     void run()
     {
-        for (const auto &[name, service] : byName_) {
+        for (const auto &[name, service] : servicesByName_) {
             push(*service);
             while (!path_.empty()) {
                 step();
@@ -109,23 +109,23 @@
         const JsonNode &target = *top.service_->targets_[index];
         const auto onPath = std::ranges::find(path_, target.text_, [](const Frame &f) { return f.service_->name_; });
         if (onPath != path_.end()) {
-            nameCycle(onPath, target, top.service_->pointers_[index]);
-        } else if (const auto found = byName_.find(target.text_); found != byName_.end()) {
+            reportCycle(onPath, target, top.service_->pointers_[index]);
+        } else if (const auto found = servicesByName_.find(target.text_); found != servicesByName_.end()) {
             push(*found->second);
         }
     }
 
-    void nameCycle(std::vector<Frame>::const_iterator first, const JsonNode &target, const std::string &pointer)
+    void reportCycle(std::vector<Frame>::const_iterator first, const JsonNode &target, const std::string &pointer)
     {
-        std::string circle;
+        std::string cycle;
         for (auto frame = first; frame != path_.cend(); ++frame) {
-            absl::StrAppend(&circle, frame->service_->name_, " -> ");
+            absl::StrAppend(&cycle, frame->service_->name_, " -> ");
         }
-        problems_.add(TextProblemKind::Cycle, target.offset_, pointer, absl::StrCat("services depend on each other in a circle: ", circle, target.text_));
+        problems_.add(TextProblemKind::Cycle, target.offset_, pointer, absl::StrCat("the dependencies of these services form a cycle: ", cycle, target.text_));
     }
 
     TextProblems &problems_;
-    std::map<std::string, const Dependencies *> byName_;
+    std::map<std::string, const Dependencies *> servicesByName_;
     std::set<std::string> visited_;
     std::vector<Frame> path_;
 };
@@ -155,7 +155,7 @@
         names.insert(all.back().name_);
     }
     for (const Dependencies &service : all) {
-        UniqueTexts unique("dependency", problems);
+        UniqueValues unique("dependency", problems);
         for (std::size_t i = 0; i < service.targets_.size(); ++i) {
             const JsonNode &target = *service.targets_[i];
             unique.check(target, service.pointers_[i]);
@@ -168,9 +168,10 @@
 }
 
 /**
- * An even group needs a larger majority than the odd one below it and survives no more failures. It is allowed only while a member is
- * being replaced, since going from 3 to 4 to 3 members keeps any two majorities overlapping, while an exchange in one step does not:
- * {a, b} of {a, b, c} and {c', x} of {a, c', x} need not share a member, and an acknowledged write could be missed by the next primary.
+ * Checks the number of members of \p group. A group with an even number of members needs a larger majority than one with a member less, and
+ * tolerates no more failures. An even number is allowed only while a member is being replaced: with a change from 3 to 4 to 3 members, any two
+ * successive majorities overlap. With a replacement in one step they need not: {a, b} of {a, b, c} and {c', x} of {a, c', x} may have no member in
+ * common, and the next primary could miss an acknowledged write.
  */
 void checkMembers(const JsonNode &group, const std::string &pointer, TextProblems &problems)
 {
@@ -187,17 +188,17 @@
         problems.add(TextProblemKind::InvalidValue,
                      members->offset_,
                      childPointer(pointer, "members"),
-                     absl::StrCat("a group of ", count, " survives no more failures than one of ", count == 0 ? 0 : count - 1, "; use an odd number"));
+                     absl::StrCat("a group of ", count, " tolerates no more failures than one of ", count == 0 ? 0 : count - 1, "; use an odd number"));
     }
     if (leaving > 0 && count - leaving < count / 2 + 1) {
         problems.add(TextProblemKind::InvalidValue,
                      members->offset_,
                      childPointer(pointer, "members"),
-                     absl::StrCat(leaving, " of ", count, " members are leaving; a majority has to stay"));
+                     absl::StrCat(leaving, " of ", count, " members are leaving; a majority must remain"));
     }
 }
 
-/** The values that must be unique in the whole text. */
+/** Checks of values that must be unique in the whole text. */
 struct UniqueInText
 {
     explicit UniqueInText(TextProblems &problems)
@@ -208,10 +209,10 @@
     {
     }
 
-    UniqueTexts services_;
-    UniqueTexts groups_;
-    UniqueTexts members_;
-    UniqueTexts addresses_;
+    UniqueValues services_;
+    UniqueValues groups_;
+    UniqueValues members_;
+    UniqueValues addresses_;
 };
 
 void checkGroup(const JsonNode &group, const std::string &pointer, UniqueInText &unique, TextProblems &problems)
@@ -229,7 +230,7 @@
 void checkService(const JsonNode &service, const std::string &pointer, UniqueInText &unique, TextProblems &problems)
 {
     unique.services_.check(service, "name", pointer);
-    UniqueTexts classNames("class name", problems);
+    UniqueValues classNames("class name", problems);
     const absl::Span<const JsonNode> classes = itemsField(service, "classes");
     for (std::size_t i = 0; i < classes.size(); ++i) {
         classNames.check(classes[i], "name", childPointer(childPointer(pointer, "classes"), i));
--- a/src/ConfigurationRules.h
+++ b/src/ConfigurationRules.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines the rules of a configuration that look at more than one field: unique names and addresses, dependencies, members of a group.
+ * Defines the validation rules of a configuration that involve more than one field: unique names and addresses, dependencies, members of a group.
  */
 #pragma once
 
@@ -8,7 +8,7 @@
 
 namespace Figward {
 
-/** Checks the services of \p root. Copes with fields that are missing or of the wrong type: those are named elsewhere. */
+/** Checks the services of \p root. Tolerates missing fields and fields of a wrong type; checkObject() reports those. */
 void checkConfigurationRules(const JsonNode &root, TextProblems &problems);
 
 } // namespace Figward
--- a/src/ConfigurationText.cpp
+++ b/src/ConfigurationText.cpp
@@ -82,7 +82,7 @@
     return configuration;
 }
 
-std::optional<JsonNode> checkTree(std::string_view text, TextProblems &problems)
+std::optional<JsonNode> parseAndCheck(std::string_view text, TextProblems &problems)
 {
     std::optional<JsonNode> root = parseJsonDocument(text, problems);
     if (root) {
@@ -133,7 +133,7 @@
 CheckedConfiguration checkConfiguration(std::string_view text)
 {
     TextProblems problems(text);
-    const std::optional<JsonNode> root = checkTree(text, problems);
+    const std::optional<JsonNode> root = parseAndCheck(text, problems);
     CheckedConfiguration result{.configuration_ = std::nullopt, .problems_ = problems.take()};
     if (result.problems_.empty()) {
         result.configuration_ = readConfiguration(*root);
--- a/src/FieldTable.cpp
+++ b/src/FieldTable.cpp
@@ -30,7 +30,7 @@
     case JsonKind::Integer:
         return "an integer";
     case JsonKind::Number:
-        return "a number that is no 64 bit integer";
+        return "a number that is not a signed 64-bit integer";
     case JsonKind::Text:
         return "a string";
     case JsonKind::Array:
@@ -84,7 +84,10 @@
 void checkName(const JsonNode &node, const std::string &pointer, TextProblems &problems)
 {
     if (checkKind(node, JsonKind::Text, pointer, problems) && !isName(node.text_)) {
-        problems.add(TextProblemKind::InvalidValue, node.offset_, pointer, "a name has 1 to 63 of A-Z a-z 0-9 . _ - and begins with a letter or digit");
+        problems.add(TextProblemKind::InvalidValue,
+                     node.offset_,
+                     pointer,
+                     "a name consists of 1 to 63 characters of A-Z a-z 0-9 . _ - and begins with a letter or digit");
     }
 }
 
@@ -99,7 +102,8 @@
 void checkAddress(const JsonNode &node, const std::string &pointer, TextProblems &problems)
 {
     if (checkKind(node, JsonKind::Text, pointer, problems) && !isAddress(node.text_)) {
-        problems.add(TextProblemKind::InvalidValue, node.offset_, pointer, "an address is an IP number and a port, such as 10.0.1.5:5432 or [fd00::5]:5432");
+        problems.add(
+            TextProblemKind::InvalidValue, node.offset_, pointer, "an address consists of an IP address and a port, such as 10.0.1.5:5432 or [fd00::5]:5432");
     }
 }
 
@@ -151,7 +155,7 @@
     }
 }
 
-std::string knownFields(const ObjectInfo &info)
+std::string fieldNames(const ObjectInfo &info)
 {
     std::string names;
     for (const FieldInfo &field : info.fields_) {
@@ -224,15 +228,15 @@
         return;
     }
     for (const JsonMember &member : node.members_) {
-        const std::string place = childPointer(pointer, member.key_);
+        const std::string memberPointer = childPointer(pointer, member.key_);
         const auto *field = std::ranges::find(info.fields_, std::string_view(member.key_), &FieldInfo::name_);
         if (field == info.fields_.end()) {
             problems.add(TextProblemKind::UnknownField,
                          member.keyOffset_,
-                         place,
-                         absl::StrCat("a ", asAbsl(info.title_), " has no such field; it has ", knownFields(info)));
+                         memberPointer,
+                         absl::StrCat("a ", asAbsl(info.title_), " has no such field; its fields are ", fieldNames(info)));
         } else {
-            checkValue(member.value_, *field, place, problems);
+            checkValue(member.value_, *field, memberPointer, problems);
         }
     }
     for (const FieldInfo &field : info.fields_) {
@@ -240,7 +244,7 @@
             problems.add(TextProblemKind::MissingField,
                          node.offset_,
                          childPointer(pointer, field.name_),
-                         absl::StrCat("this ", asAbsl(info.title_), " lacks the field ", asAbsl(field.name_)));
+                         absl::StrCat("this ", asAbsl(info.title_), " does not have the required field ", asAbsl(field.name_)));
         }
     }
 }
@@ -257,11 +261,11 @@
     if (const JsonNode *value = findMember(node, name)) {
         return value->integer_;
     }
-    std::int64_t fallback = 0;
-    const bool isInteger = absl::SimpleAtoi(asAbsl(fieldInfo(info, name).default_), &fallback);
+    std::int64_t defaultValue = 0;
+    const bool isInteger = absl::SimpleAtoi(asAbsl(fieldInfo(info, name).default_), &defaultValue);
     assert(isInteger);
     static_cast<void>(isInteger);
-    return fallback;
+    return defaultValue;
 }
 
 bool booleanField(const JsonNode &node, const ObjectInfo &info, std::string_view name)
@@ -275,8 +279,8 @@
     if (const JsonNode *value = findMember(node, name)) {
         return value->text_;
     }
-    const std::string_view fallback = fieldInfo(info, name).default_;
-    return fallback.size() < 2 ? std::string() : std::string(fallback.substr(1, fallback.size() - 2));
+    const std::string_view defaultValue = fieldInfo(info, name).default_;
+    return defaultValue.size() < 2 ? std::string() : std::string(defaultValue.substr(1, defaultValue.size() - 2));
 }
 
 absl::Span<const JsonNode> itemsField(const JsonNode &node, std::string_view name)
--- a/src/JsonDocument.cpp
+++ b/src/JsonDocument.cpp
@@ -15,8 +15,8 @@
 constexpr std::size_t maxDepth = 32;
 
 // NOLINTBEGIN(readability-identifier-naming): Boost.JSON fixes these names.
-/** Blanks the comments of a copy of the text, so that all offsets stay. */
-struct CommentBlanker : SilentHandler
+/** Replaces the comments in a copy of the text by spaces, which keeps all offsets. */
+struct CommentBlanker : NoOpHandler
 {
     CommentBlanker(std::string_view text, std::string &copy)
         : text_(text)
@@ -46,42 +46,42 @@
     return options;
 }
 
-/** Verdict of the parser on the whole text, and the text with its comments blanked. */
-struct SyntaxCheck
+/** Result of a syntax check of the whole text, and the text with its comments replaced by spaces. */
+struct SyntaxCheckResult
 {
     std::string blanked_;
     std::size_t errorOffset_ = 0;
     json::error_code error_;
 };
 
-SyntaxCheck checkSyntax(std::string_view text)
+SyntaxCheckResult checkSyntax(std::string_view text)
 {
-    SyntaxCheck check{.blanked_ = std::string(text)};
-    json::basic_parser<CommentBlanker> parser(parseOptions(), text, check.blanked_);
-    check.errorOffset_ = parser.write_some(false, text.data(), text.size(), check.error_);
-    if (!check.error_ && check.errorOffset_ < text.size()) {
-        check.error_ = json::error::extra_data;
+    SyntaxCheckResult result{.blanked_ = std::string(text)};
+    json::basic_parser<CommentBlanker> parser(parseOptions(), text, result.blanked_);
+    result.errorOffset_ = parser.write_some(false, text.data(), text.size(), result.error_);
+    if (!result.error_ && result.errorOffset_ < text.size()) {
+        result.error_ = json::error::extra_data;
     }
-    return check;
+    return result;
 }
 
 /**
- * Feeds the text byte by byte up to \p end. The comments must be blanked: Boost.JSON 1.81 reads past the end of its input
- * when a piece ends exactly where a comment ends.
+ * Feeds the text to the parser byte by byte up to \p end. Comments must have been replaced by spaces before: Boost.JSON 1.81 reads past the end
+ * of its input when a chunk ends exactly at the end of a comment.
  */
 void feed(json::basic_parser<TreeBuilder> &parser, std::string_view text, std::size_t end, json::error_code &error)
 {
-    for (std::size_t at = 0; at < end && !error; ++at) {
-        parser.handler().setOffset(at);
-        parser.write_some(true, text.data() + at, 1, error);
+    for (std::size_t offset = 0; offset < end && !error; ++offset) {
+        parser.handler().setOffset(offset);
+        parser.write_some(true, text.data() + offset, 1, error);
     }
 }
 
-/** Whether the text can be handed to the parser at all. */
-bool checkBytes(std::string_view text, TextProblems &problems)
+/** Checks the conditions under which the text can be parsed at all: size, no byte order mark, not empty. */
+bool checkPreconditions(std::string_view text, TextProblems &problems)
 {
     if (text.size() > maxTextBytes) {
-        problems.add(TextProblemKind::OutOfRange, 0, "", absl::StrCat("the text has ", text.size(), " bytes; at most ", maxTextBytes, " are read"));
+        problems.add(TextProblemKind::OutOfRange, 0, "", absl::StrCat("the text has ", text.size(), " bytes; at most ", maxTextBytes, " are allowed"));
         return false;
     }
     if (text.substr(0, 3) == "\xEF\xBB\xBF") {
@@ -99,19 +99,19 @@
 
 std::optional<JsonNode> parseJsonDocument(std::string_view text, TextProblems &problems)
 {
-    if (!checkBytes(text, problems)) {
+    if (!checkPreconditions(text, problems)) {
         return std::nullopt;
     }
-    const SyntaxCheck check = checkSyntax(text);
-    json::basic_parser<TreeBuilder> parser(parseOptions(), check.blanked_, problems);
-    json::error_code error = check.error_;
+    const SyntaxCheckResult result = checkSyntax(text);
+    json::basic_parser<TreeBuilder> parser(parseOptions(), result.blanked_, problems);
+    json::error_code error = result.error_;
     if (error) {
         json::error_code ignored;
-        feed(parser, check.blanked_, check.errorOffset_, ignored);
-        problems.add(TextProblemKind::Syntax, std::min(check.errorOffset_, text.size() - 1), parser.handler().pointer(), error.message());
+        feed(parser, result.blanked_, result.errorOffset_, ignored);
+        problems.add(TextProblemKind::Syntax, std::min(result.errorOffset_, text.size() - 1), parser.handler().pointer(), error.message());
         return std::nullopt;
     }
-    feed(parser, check.blanked_, text.size(), error);
+    feed(parser, result.blanked_, text.size(), error);
     parser.handler().setOffset(text.size());
     parser.write_some(false, text.data() + text.size(), 0, error);
     if (error) {
--- a/src/JsonTreeBuilder.h
+++ b/src/JsonTreeBuilder.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines the handlers that Boost.JSON's parser calls: one that does nothing, and one that builds a tree of values with their places.
+ * Defines handlers for Boost.JSON's parser: one whose callbacks do nothing, and one that builds a tree of values with their offsets.
  */
 #pragma once
 
@@ -12,9 +12,9 @@
 
 namespace Figward {
 
-/** What Boost.JSON asks of a handler, doing nothing. Derived handlers hide what they need. */
+/** Handler for Boost.JSON whose callbacks do nothing. Derived handlers redefine those that they need. */
 // NOLINTBEGIN(readability-identifier-naming): Boost.JSON fixes these names.
-struct SilentHandler
+struct NoOpHandler
 {
     static constexpr std::size_t max_object_size = std::numeric_limits<std::size_t>::max();
     static constexpr std::size_t max_array_size = max_object_size;
@@ -96,8 +96,8 @@
 };
 // NOLINTEND(readability-identifier-naming)
 
-/** Builds the tree from the events of Boost.JSON, which is fed byte by byte so that offset_ always names the byte that caused an event. */
-class TreeBuilder : public SilentHandler
+/** Builds the tree from the callbacks of Boost.JSON's parser. The parser is fed byte by byte, so that offset_ is always the byte that triggered a callback. */
+class TreeBuilder : public NoOpHandler
 {
 public:
     TreeBuilder(std::string_view text, TextProblems &problems)
@@ -182,12 +182,12 @@
     // NOLINTEND(readability-identifier-naming)
 
 private:
-    /** An array or object whose end has not been read. */
+    /** An array or object whose end has not been parsed yet. */
     struct OpenNode
     {
         JsonNode node_;
         std::string pointer_;
-        std::string key_; ///< Of the member that is being read.
+        std::string key_; ///< Key of the member that is being parsed.
         std::size_t keyOffset_ = 0;
     };
 
@@ -200,7 +200,7 @@
 
     bool end()
     {
-        nameDoubledKeys(open_.back());
+        reportDuplicateKeys(open_.back());
         JsonNode closed = std::move(open_.back().node_);
         open_.pop_back();
         return add(std::move(closed));
@@ -221,8 +221,8 @@
         return true;
     }
 
-    /** Sorts instead of comparing each key with each: a text of a million keys must not hold up the process. */
-    void nameDoubledKeys(const OpenNode &object)
+    /** Reports duplicate keys of \p object. It sorts the keys, since comparing every pair would take too long for a text with a million keys. */
+    void reportDuplicateKeys(const OpenNode &object)
     {
         std::vector<const JsonMember *> members;
         for (const JsonMember &member : object.node_.members_) {
@@ -231,8 +231,10 @@
         std::ranges::stable_sort(members, {}, &JsonMember::key_);
         for (std::size_t i = 1; i < members.size(); ++i) {
             if (members[i]->key_ == members[i - 1]->key_) {
-                problems_.add(
-                    TextProblemKind::Duplicate, members[i]->keyOffset_, childPointer(object.pointer_, members[i]->key_), "this key stands twice in its object");
+                problems_.add(TextProblemKind::Duplicate,
+                              members[i]->keyOffset_,
+                              childPointer(object.pointer_, members[i]->key_),
+                              "this key occurs more than once in its object");
             }
         }
     }
@@ -249,37 +251,40 @@
         return childPointer(parent.pointer_, parent.key_);
     }
 
-    /** A quote within a string always follows an odd number of backslashes, the opening one never does: the first such quote backwards is it. */
+    /**
+     * Searches backwards for the opening quote of the string that ends before offset_. A quote inside a string always follows an odd number of
+     * backslashes and the opening quote never does, so it is the first quote found that follows an even number.
+     */
     [[nodiscard]] std::size_t openingQuote() const
     {
-        std::size_t at = offset_;
-        while (at > 0) {
-            --at;
-            if (text_[at] != '"') {
+        std::size_t start = offset_;
+        while (start > 0) {
+            --start;
+            if (text_[start] != '"') {
                 continue;
             }
             std::size_t backslashes = 0;
-            while (backslashes < at && text_[at - 1 - backslashes] == '\\') {
+            while (backslashes < start && text_[start - 1 - backslashes] == '\\') {
                 ++backslashes;
             }
             if (backslashes % 2 == 0) {
-                return at;
+                return start;
             }
         }
-        return at;
+        return start;
     }
 
-    /** The event of a number comes with the byte after it. */
+    /** Returns the offset of the first byte of the number that ends before offset_: the callback for a number is triggered by the byte after it. */
     [[nodiscard]] std::size_t numberStart() const
     {
-        std::size_t at = offset_;
-        while (at > 0 && std::string_view("0123456789+-.eE").find(text_[at - 1]) != std::string_view::npos) {
-            --at;
+        std::size_t start = offset_;
+        while (start > 0 && std::string_view("0123456789+-.eE").find(text_[start - 1]) != std::string_view::npos) {
+            --start;
         }
-        return at;
+        return start;
     }
 
-    /** The event of a literal comes with its last byte. */
+    /** Returns the offset of the first byte of \p literal: the callback for a literal is triggered by its last byte. */
     [[nodiscard]] std::size_t literalStart(std::string_view literal) const
     {
         return offset_ + 1 - literal.size();
@@ -288,7 +293,7 @@
     std::string_view text_;
     TextProblems &problems_;
     std::size_t offset_ = 0;
-    std::string buffer_; ///< Of the string that is being read.
+    std::string buffer_; ///< Content of the string that is being parsed.
     std::vector<OpenNode> open_;
     std::optional<JsonNode> root_;
     std::string rootPointer_;
--- a/src/LineBuffer.cpp
+++ b/src/LineBuffer.cpp
@@ -13,10 +13,10 @@
 
 namespace {
 
-/** How often a writer whose reader does not read looks whether it should end. */
+/** Interval at which a writer whose pipe is full checks whether it should stop. */
 constexpr int pollMillis = 50;
 
-/** A pipe whose reader is gone would end the process by a signal; the error that write() returns is enough. */
+/** Blocks SIGPIPE on this thread. A write to a pipe without a reader would end the process by this signal; the error of write() is sufficient. */
 void blockPipeSignal()
 {
     sigset_t signals;
@@ -27,8 +27,8 @@
 
 } // namespace
 
-LineBuffer::LineBuffer(int handle, std::size_t capacity)
-    : handle_(handle)
+LineBuffer::LineBuffer(int fileDescriptor, std::size_t capacity)
+    : fileDescriptor_(fileDescriptor)
     , capacity_(capacity)
     , thread_([this] { run(); })
 {
@@ -44,11 +44,11 @@
     thread_.join();
 }
 
-bool LineBuffer::add(std::string line, LineRank rank)
+bool LineBuffer::add(std::string line, LinePriority priority)
 {
     {
         const std::scoped_lock lock(mutex_);
-        const std::size_t room = rank == LineRank::Important ? capacity_ : capacity_ / 2;
+        const std::size_t room = priority == LinePriority::Important ? capacity_ : capacity_ / 2;
         if (size_ + line.size() > room) {
             return false;
         }
@@ -59,10 +59,10 @@
     return true;
 }
 
-bool LineBuffer::flush(std::chrono::milliseconds limit)
+bool LineBuffer::flush(std::chrono::milliseconds timeout)
 {
     std::unique_lock lock(mutex_);
-    return changed_.wait_for(lock, limit, [this] { return size_ == 0; });
+    return changed_.wait_for(lock, timeout, [this] { return size_ == 0; });
 }
 
 void LineBuffer::run()
@@ -88,21 +88,21 @@
 {
     std::size_t written = 0;
     while (written < line.size() && !closed_) {
-        pollfd wanted{handle_, POLLOUT, 0};
-        if (poll(&wanted, 1, pollMillis) <= 0) {
+        pollfd pollRequest{fileDescriptor_, POLLOUT, 0};
+        if (poll(&pollRequest, 1, pollMillis) <= 0) {
             const std::scoped_lock lock(mutex_);
             if (stopping_) {
-                return; // Nobody reads, and nobody is left to wait for it.
+                return; // The pipe is full and the buffer is being destroyed.
             }
             continue;
         }
-        // A pipe that is ready takes this much at once, without blocking.
-        const std::size_t part = std::min<std::size_t>(line.size() - written, PIPE_BUF);
-        const ssize_t taken = ::write(handle_, line.data() + written, part);
-        if (taken >= 0) {
-            written += static_cast<std::size_t>(taken);
+        // A pipe that is ready for writing accepts up to PIPE_BUF bytes without blocking.
+        const std::size_t size = std::min<std::size_t>(line.size() - written, PIPE_BUF);
+        const ssize_t result = ::write(fileDescriptor_, line.data() + written, size);
+        if (result >= 0) {
+            written += static_cast<std::size_t>(result);
         } else if (errno != EAGAIN && errno != EINTR) {
-            closed_ = true; // Nothing can be told to a reader that is gone.
+            closed_ = true; // The reader has closed the pipe, so further lines are discarded.
         }
     }
 }
--- a/src/LineBuffer.h
+++ b/src/LineBuffer.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines a bounded buffer of lines before a pipe that may be full or closed.
+ * Defines a bounded buffer of lines in front of a pipe that may be full or closed.
  */
 #pragma once
 
@@ -13,41 +13,41 @@
 
 namespace Figward {
 
-/** Which lines go first when there is little room. */
-enum class LineRank {
-    Ordinary, ///< Taken while half of the buffer is free.
-    Important, ///< Taken while there is room at all.
+/** Priority of a line when the buffer fills up. */
+enum class LinePriority {
+    Ordinary, ///< Accepted while at least half of the buffer is free.
+    Important, ///< Accepted as long as the line fits into the buffer.
 };
 
 /**
- * Writes lines to a file descriptor on a thread of its own. Adding never waits: a reader that does not read, or is gone, costs lines and nothing else.
- * Thread-safe.
+ * Writes lines to a file descriptor on a dedicated thread. Adding a line never blocks: if the reader of the pipe is slow or has closed it, lines are lost
+ * and there is no other effect. Thread-safe.
  */
 class LineBuffer
 {
 public:
-    /** \p handle stays open for as long as the buffer is used; \p capacity is in bytes. */
-    LineBuffer(int handle, std::size_t capacity);
+    /** \p fileDescriptor must stay open for the lifetime of the buffer; \p capacity is in bytes. */
+    LineBuffer(int fileDescriptor, std::size_t capacity);
     LineBuffer(const LineBuffer &) = delete;
     LineBuffer &operator=(const LineBuffer &) = delete;
-    /** Lines that could not be written by then are lost. */
+    /** Discards lines that the reader does not accept at once. */
     ~LineBuffer();
-    /** Adds a whole line; false if there is no room for it. */
-    bool add(std::string line, LineRank rank);
-    /** Waits until all lines have been handed to the system, \p limit at most; whether they have. */
-    bool flush(std::chrono::milliseconds limit);
+    /** Adds a whole line; returns false if the buffer has no room for it. */
+    bool add(std::string line, LinePriority priority);
+    /** Waits at most \p timeout until all lines have been written to the file descriptor. Returns whether they have. */
+    bool flush(std::chrono::milliseconds timeout);
 
 private:
     void run();
     void writeOut(const std::string &line);
 
-    const int handle_;
+    const int fileDescriptor_;
     const std::size_t capacity_;
-    bool closed_ = false; ///< The reader is gone; used by the thread only.
-    std::mutex mutex_; ///< Guards what follows.
+    bool closed_ = false; ///< The reader has closed the pipe. Used by the writing thread only.
+    std::mutex mutex_; ///< Guards the members below.
     std::condition_variable changed_;
     std::deque<std::string> lines_;
-    std::size_t size_ = 0; ///< Bytes in lines_, and of the line that is being written.
+    std::size_t size_ = 0; ///< Total size in bytes of lines_ and of the line that is being written.
     bool stopping_ = false;
     std::thread thread_;
 };
--- a/src/LogBudget.cpp
+++ b/src/LogBudget.cpp
@@ -7,36 +7,36 @@
 
 namespace {
 
-/** Pause between two reports of what was dropped. */
+/** Minimum interval between two reports of dropped lines. */
 constexpr Duration reportInterval = std::chrono::seconds(1);
 
 } // namespace
 
-bool takeLine(LogBudget &budget, LogNumber number, Time now)
+bool tryTakeLine(LogBudget &budget, LogNumber number, Time now)
 {
-    const auto [entry, isNew] = budget.kinds_.try_emplace(number, LogBudget::Kind{budget.limits_.burst_, now});
-    LogBudget::Kind &kind = entry->second;
-    const double passed = std::chrono::duration<double>(now - kind.at_).count();
-    kind.left_ = std::min(budget.limits_.burst_, kind.left_ + passed * budget.limits_.linesPerSecond_);
-    kind.at_ = now;
-    if (kind.left_ < 1) {
+    const auto [entry, isNew] = budget.buckets_.try_emplace(number, LogBudget::Bucket{budget.limits_.burst_, now});
+    LogBudget::Bucket &bucket = entry->second;
+    const double elapsedSeconds = std::chrono::duration<double>(now - bucket.updatedAt_).count();
+    bucket.tokens_ = std::min(budget.limits_.burst_, bucket.tokens_ + elapsedSeconds * budget.limits_.linesPerSecond_);
+    bucket.updatedAt_ = now;
+    if (bucket.tokens_ < 1) {
         return false;
     }
-    kind.left_ -= 1;
+    bucket.tokens_ -= 1;
     return true;
 }
 
-void noteDropped(LogBudget &budget, LogNumber number)
+void countDroppedLine(LogBudget &budget, LogNumber number)
 {
     ++budget.dropped_[number];
 }
 
-std::vector<LogField> takeDropped(LogBudget &budget, Time now)
+std::vector<LogField> takeDroppedReport(LogBudget &budget, Time now)
 {
-    if (budget.dropped_.empty() || now - budget.reported_ < reportInterval) {
+    if (budget.dropped_.empty() || now - budget.reportedAt_ < reportInterval) {
         return {};
     }
-    budget.reported_ = now;
+    budget.reportedAt_ = now;
     std::uint64_t lines = 0;
     std::string kinds;
     for (const auto &[number, count] : std::exchange(budget.dropped_, {})) {
--- a/src/LogBudget.h
+++ b/src/LogBudget.h
@@ -1,8 +1,8 @@
 /** \file
- * Defines how many log lines of each kind may be written.
+ * Defines the rate limit of log lines, by kind of event.
  *
- * It answers the load pattern of one cause that touches every request, such as a full service: thousands of lines a second of one kind, in which the few
- * lines that tell of the cause would drown. Each kind of event has a budget of its own, so a flood of one kind costs the others nothing.
+ * A single cause that affects every request, such as an overloaded service, can produce thousands of lines a second of one kind, which would hide the few
+ * lines about the cause. Each kind of event has its own token bucket, so a flood of one kind does not affect the others.
  */
 #pragma once
 
@@ -14,34 +14,34 @@
 
 namespace Figward {
 
-/** Budget of each kind of event. */
+/** Rate limit of each kind of event. */
 struct LogLimits
 {
-    /** Lines a second; at some 250 bytes a line, a kind writes 12 KB a second at most. */
+    /** Lines a second. At about 250 bytes a line, a kind writes at most 12 KB a second. */
     double linesPerSecond_ = 50;
-    /** Lines that may come at once, after a quiet time. */
+    /** Size of a burst, in lines, that is allowed after an idle period. */
     double burst_ = 200;
 };
 
-/** What is left of the budgets, and what was dropped. */
+/** State of the rate limit: a token bucket for each kind of event, and the counts of dropped lines. */
 struct LogBudget
 {
-    struct Kind
+    struct Bucket
     {
-        double left_ = 0; ///< Lines.
-        Time at_; ///< When left_ held.
+        double tokens_ = 0; ///< Lines that may be written at updatedAt_.
+        Time updatedAt_; ///< Time of the last update of tokens_.
     };
     LogLimits limits_;
-    std::map<LogNumber, Kind> kinds_;
-    std::map<LogNumber, std::uint64_t> dropped_; ///< Since the last takeDropped().
-    Time reported_;
+    std::map<LogNumber, Bucket> buckets_;
+    std::map<LogNumber, std::uint64_t> dropped_; ///< Number of lines dropped since the last report by takeDroppedReport().
+    Time reportedAt_;
 };
 
-/** Whether a line of this kind may be written now; if so, it is taken from the budget. */
-bool takeLine(LogBudget &budget, LogNumber number, Time now);
-/** Counts a line that was not written. */
-void noteDropped(LogBudget &budget, LogNumber number);
-/** Fields of the event that tells what was dropped, once a second at most; none if there is nothing to tell. */
-std::vector<LogField> takeDropped(LogBudget &budget, Time now);
+/** Returns whether a line of this kind may be written now, and takes a token if so. */
+bool tryTakeLine(LogBudget &budget, LogNumber number, Time now);
+/** Counts a dropped line. */
+void countDroppedLine(LogBudget &budget, LogNumber number);
+/** Returns the fields of the event that reports dropped lines and resets the counts, at most once a second. Empty if no report is due. */
+std::vector<LogField> takeDroppedReport(LogBudget &budget, Time now);
 
 } // namespace Figward
--- a/src/LogLine.cpp
+++ b/src/LogLine.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr std::size_t headWords = 5; ///< Time, level, number, name and process.
+constexpr std::size_t headerWordCount = 5; ///< Time, level, number, name and process.
 
 absl::string_view asAbsl(std::string_view text)
 {
@@ -24,7 +24,7 @@
     return plain ? value : absl::StrCat("\"", absl::CHexEscape(value), "\"");
 }
 
-/** Length of the value at the start of \p rest, its quotes included. */
+/** Returns the length of the value at the start of \p rest, including its quotes; npos if the closing quote is missing. */
 std::size_t valueLength(std::string_view rest)
 {
     if (rest.empty() || rest.front() != '"') {
@@ -40,8 +40,8 @@
     return std::string_view::npos;
 }
 
-/** Takes one "KEY=VALUE" off \p rest. */
-std::optional<LogField> takeField(std::string_view &rest)
+/** Parses one "KEY=VALUE" at the start of \p rest and removes it from \p rest. */
+std::optional<LogField> parseField(std::string_view &rest)
 {
     const std::size_t equals = rest.find('=');
     if (equals == 0 || equals == std::string_view::npos) {
@@ -100,24 +100,24 @@
 
 std::optional<LogLine> parseLogLine(std::string_view line)
 {
-    std::vector<absl::string_view> head;
+    std::vector<absl::string_view> header;
     std::string_view rest = line;
-    while (head.size() < headWords && !rest.empty()) {
+    while (header.size() < headerWordCount && !rest.empty()) {
         const std::size_t end = std::min(rest.find(' '), rest.size());
-        head.push_back(asAbsl(rest.substr(0, end)));
+        header.push_back(asAbsl(rest.substr(0, end)));
         rest.remove_prefix(std::min(rest.size(), rest.find_first_not_of(' ', end)));
     }
     LogLine result;
-    const std::optional<LogTime> time = head.size() == headWords ? parseTime(head[0]) : std::nullopt;
-    if (!time || !absl::SimpleAtoi(head[2], &result.number_)) {
+    const std::optional<LogTime> time = header.size() == headerWordCount ? parseTime(header[0]) : std::nullopt;
+    if (!time || !absl::SimpleAtoi(header[2], &result.number_)) {
         return std::nullopt;
     }
     result.time_ = *time;
-    result.level_ = std::string(head[1]);
-    result.name_ = std::string(head[3]);
-    result.process_ = std::string(head[4]);
+    result.level_ = std::string(header[1]);
+    result.name_ = std::string(header[3]);
+    result.process_ = std::string(header[4]);
     while (!rest.empty()) {
-        std::optional<LogField> field = takeField(rest);
+        std::optional<LogField> field = parseField(rest);
         if (!field) {
             return std::nullopt;
         }
--- a/src/LogLine.h
+++ b/src/LogLine.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines the text of a log event: one line, "TIME LEVEL NUMBER NAME PROCESS KEY=VALUE...", written by LogWriter and read by the time line.
+ * Defines the text format of a log event: one line, "TIME LEVEL NUMBER NAME PROCESS KEY=VALUE...", written by LogWriter and read by the timeline command.
  */
 #pragma once
 
@@ -13,10 +13,10 @@
 
 namespace Figward {
 
-/** Wall-clock time of a log line; VMs' clocks may differ by some milliseconds. */
+/** Wall-clock time of a log line. The clocks of VMs may differ by some milliseconds. */
 using LogTime = std::chrono::sys_time<std::chrono::milliseconds>;
 
-/** One log line, read back. */
+/** A parsed log line. */
 struct LogLine
 {
     LogTime time_;
@@ -27,11 +27,11 @@
     std::vector<LogField> fields_;
 };
 
-/** Name of \p level as it stands in log lines, such as "WARN". */
+/** Returns the name of \p level in log lines, such as "WARN". */
 std::string_view toString(LogLevel level);
-/** The part of a line after its level: number, name, process and fields. Values that a reader could mistake are quoted. */
+/** Returns the part of a line after its level: number, name, process and fields. Values that would be ambiguous to parse are quoted. */
 std::string formatLogBody(LogNumber number, std::string_view process, const std::vector<LogField> &fields);
-/** Reads a whole line; nothing if it is no log line. */
+/** Parses a whole line; returns nullopt if it is not a valid log line. */
 std::optional<LogLine> parseLogLine(std::string_view line);
 
 } // namespace Figward
--- a/src/LogWriter.cpp
+++ b/src/LogWriter.cpp
@@ -14,7 +14,7 @@
 
 namespace {
 
-/** UTC with milliseconds, level, and the body that formatLogBody() makes. */
+/** UTC time with milliseconds, level, and the body that formatLogBody() returns. */
 constexpr const char *linePattern = "%d{%Y-%m-%dT%H:%M:%S.%q}Z %p %m%n";
 
 log4cplus::LogLevel toLog4cplus(LogLevel level)
@@ -32,14 +32,14 @@
     return log4cplus::INFO_LOG_LEVEL;
 }
 
-/** Several writers in one process need loggers of their own: log4cplus finds loggers by name. */
+/** Returns a unique logger name. log4cplus identifies loggers by name, and each writer in a process needs its own. */
 std::string loggerName(const std::string &process)
 {
     static std::atomic<unsigned> count = 0;
     return process + "#" + std::to_string(++count);
 }
 
-/** Room for lines that are not written yet, in bytes: some thousand lines, twenty seconds of a kind's budget. */
+/** Capacity for lines that are not written yet, in bytes: about a thousand lines, or the maximum output of one kind of event in twenty seconds. */
 constexpr std::size_t bufferSize = std::size_t{256} * 1024;
 
 Time readClock()
@@ -47,12 +47,12 @@
     return Time(std::chrono::duration_cast<Duration>(std::chrono::steady_clock::now().time_since_epoch()));
 }
 
-/** Lines about single requests that went out of the ordinary, and about trouble, go before the others. */
-LineRank rankOf(LogNumber number)
+/** Returns the priority of an event: events about individual abnormal requests, warnings and errors are important. */
+LinePriority priorityOf(LogNumber number)
 {
     const int value = static_cast<int>(number);
-    const bool aboutRequests = value >= 501 && value < 600 && number != LogNumber::StatementDone;
-    return aboutRequests || logEventInfo(number).level_ >= LogLevel::Warning ? LineRank::Important : LineRank::Ordinary;
+    const bool isAboutRequest = value >= 501 && value < 600 && number != LogNumber::StatementDone;
+    return isAboutRequest || logEventInfo(number).level_ >= LogLevel::Warning ? LinePriority::Important : LinePriority::Ordinary;
 }
 
 void useLinePattern(log4cplus::Appender &appender)
@@ -62,12 +62,12 @@
 
 } // namespace
 
-/** Hands lines to a buffer that never waits. Used under the writer's lock. */
+/** Passes lines to a buffer that never blocks. Used while the writer's mutex is held. */
 class StreamAppender : public log4cplus::Appender
 {
 public:
-    explicit StreamAppender(int handle)
-        : buffer_(handle, bufferSize)
+    explicit StreamAppender(int fileDescriptor)
+        : buffer_(fileDescriptor, bufferSize)
     {
         useLinePattern(*this);
     }
@@ -86,13 +86,13 @@
     }
 
     LineBuffer buffer_;
-    LineRank rank_ = LineRank::Ordinary; ///< Of the next line.
-    bool taken_ = true; ///< The last line.
+    LinePriority priority_ = LinePriority::Ordinary; ///< Priority of the next line.
+    bool accepted_ = true; ///< Whether the buffer accepted the last line.
 
 protected:
     void append(const log4cplus::spi::InternalLoggingEvent &event) override
     {
-        taken_ = buffer_.add(formatEvent(event), rank_);
+        accepted_ = buffer_.add(formatEvent(event), priority_);
     }
 };
 
@@ -117,10 +117,10 @@
     }
 }
 
-LogWriter::LogWriter(std::string process, int handle, LogLevel level)
+LogWriter::LogWriter(std::string process, int fileDescriptor, LogLevel level)
     : LogWriter(std::move(process), level)
 {
-    useStream(handle);
+    useStream(fileDescriptor);
 }
 
 LogWriter::~LogWriter()
@@ -128,9 +128,9 @@
     logger_.removeAllAppenders();
 }
 
-void LogWriter::useStream(int handle)
+void LogWriter::useStream(int fileDescriptor)
 {
-    streamAppender_ = new StreamAppender(handle);
+    streamAppender_ = new StreamAppender(fileDescriptor);
     logger_.addAppender(log4cplus::SharedAppenderPtr(streamAppender_));
 }
 
@@ -142,16 +142,16 @@
     const std::scoped_lock lock(mutex_);
     const Time now = readClock();
     const auto drop = [&](LogNumber dropped) {
-        noteDropped(budget_, dropped);
+        countDroppedLine(budget_, dropped);
         ++droppedLines_;
     };
-    if (!takeLine(budget_, number, now)) {
+    if (!tryTakeLine(budget_, number, now)) {
         drop(number);
         return;
     }
-    const std::map<LogNumber, std::uint64_t> untold = budget_.dropped_;
-    if (const std::vector<LogField> dropped = takeDropped(budget_, now); !dropped.empty() && !emit(LogNumber::LinesDropped, dropped)) {
-        budget_.dropped_ = untold;
+    const std::map<LogNumber, std::uint64_t> unreported = budget_.dropped_;
+    if (const std::vector<LogField> dropped = takeDroppedReport(budget_, now); !dropped.empty() && !emit(LogNumber::LinesDropped, dropped)) {
+        budget_.dropped_ = unreported;
     }
     if (!emit(number, fields)) {
         drop(number);
@@ -161,10 +161,10 @@
 bool LogWriter::emit(LogNumber number, const std::vector<LogField> &fields)
 {
     if (streamAppender_ != nullptr) {
-        streamAppender_->rank_ = rankOf(number);
+        streamAppender_->priority_ = priorityOf(number);
     }
     logger_.forcedLog(toLog4cplus(logEventInfo(number).level_), formatLogBody(number, process_, fields));
-    return streamAppender_ == nullptr || streamAppender_->taken_;
+    return streamAppender_ == nullptr || streamAppender_->accepted_;
 }
 
 std::uint64_t LogWriter::droppedLines() const
@@ -183,10 +183,10 @@
     budget_.limits_ = limits;
 }
 
-void LogWriter::flush(std::chrono::milliseconds limit)
+void LogWriter::flush(std::chrono::milliseconds timeout)
 {
     if (streamAppender_ != nullptr) {
-        streamAppender_->buffer_.flush(limit);
+        streamAppender_->buffer_.flush(timeout);
     }
 }
 
--- a/src/LogWriter.h
+++ b/src/LogWriter.h
@@ -1,5 +1,6 @@
 /** \file
- * Defines how log events are written: by log4cplus, one line each, to a file or to a standard stream; bounded in volume, and never waiting for a reader.
+ * Defines the writer of log events. It uses log4cplus and writes one line for each event to a file or a standard stream. The volume is limited, and a slow
+ * reader of the stream never blocks the process.
  */
 #pragma once
 
@@ -17,20 +18,20 @@
 
 class StreamAppender;
 
-/** Where a log goes that is written to no file. */
+/** Standard stream for a log without a log file. */
 enum class LogStream {
     StandardError,
     StandardOutput,
 };
 
-/** Writes the log of one process, or of one of several proxies in a process. Thread-safe. */
+/** Writes the log of one process, or of one proxy if a process runs several. Thread-safe. */
 class LogWriter : public LogPort
 {
 public:
-    /** \p file is appended to; empty means \p stream. Events below \p level are not written. */
+    /** Appends to \p file, or writes to \p stream if it is empty. Events below \p level are not written. */
     LogWriter(std::string process, const std::string &file, LogLevel level, LogStream stream = LogStream::StandardError);
-    /** Writes to \p handle, which stays open for as long as the writer is used. */
-    LogWriter(std::string process, int handle, LogLevel level);
+    /** Writes to \p fileDescriptor, which must stay open for the lifetime of the writer. */
+    LogWriter(std::string process, int fileDescriptor, LogLevel level);
     LogWriter(const LogWriter &) = delete;
     LogWriter &operator=(const LogWriter &) = delete;
     ~LogWriter() override;
@@ -38,20 +39,20 @@
     [[nodiscard]] std::uint64_t droppedLines() const override;
     void setLevel(LogLevel level);
     void setLimits(const LogLimits &limits);
-    /** Waits until what was written has been handed to the system, \p limit at most. */
-    void flush(std::chrono::milliseconds limit);
+    /** Waits at most \p timeout until all lines have been written to the stream. */
+    void flush(std::chrono::milliseconds timeout);
 
 private:
     LogWriter(std::string process, LogLevel level);
-    void useStream(int handle);
-    /** Whether the line was taken. */
+    void useStream(int fileDescriptor);
+    /** Writes a line; returns whether it was accepted. */
     bool emit(LogNumber number, const std::vector<LogField> &fields);
 
     std::string process_;
     log4cplus::Logger logger_;
-    StreamAppender *streamAppender_ = nullptr; ///< Owned by the logger; none for a file.
+    StreamAppender *streamAppender_ = nullptr; ///< Owned by the logger; null if the log goes to a file.
     std::atomic<std::uint64_t> droppedLines_ = 0;
-    std::mutex mutex_; ///< Guards what follows, and the order of lines.
+    std::mutex mutex_; ///< Guards the members below and the order of lines.
     LogBudget budget_;
 };
 
--- a/src/Settings.cpp
+++ b/src/Settings.cpp
@@ -20,15 +20,15 @@
 }
 
 constexpr std::array callerTlsFields{
-    file("certificate_file", true, "Certificate chain that callers are shown, PEM."),
+    file("certificate_file", true, "Certificate chain that is presented to callers, PEM."),
     file("key_file", true, "Private key of the certificate, PEM."),
-    file("ca_file", false, "Certificates that sign those of callers, PEM; without it callers are asked for none."),
+    file("ca_file", false, "CA certificates that verify those of callers, PEM; if absent, callers need no certificate."),
 };
 
 constexpr std::array peerTlsFields{
-    file("certificate_file", true, "Certificate chain that other proxies are shown, PEM."),
+    file("certificate_file", true, "Certificate chain that is presented to other proxies, PEM."),
     file("key_file", true, "Private key of the certificate, PEM."),
-    file("ca_file", true, "Certificates that sign those of the other proxies, PEM; both sides show one."),
+    file("ca_file", true, "CA certificates that verify those of the other proxies, PEM; both sides present a certificate."),
 };
 
 constexpr std::int64_t maxDrainMillis = 600000;
@@ -39,39 +39,49 @@
 }
 
 constexpr std::array policiesFields{
-    policy("refuse_when_cut_off", "Statements that no member reached may run are refused at once."),
-    policy("refuse_by_forecast", "Statements that are not likely to be served in time are refused at once."),
-    policy("unlist_when_cut_off", "A VM that is cut off says that it is not ready."),
-    policy("move_silent_reads", "A read whose member falls silent runs at another."),
-    policy("leave_room", "Half of the connections to a member are for statements that have waited."),
-    policy("visit", "With more VMs than a member takes connections, VMs open them when they need one."),
-    policy("pause_lagging", "A replica that refused a read as lagging is passed over for a moment."),
-    policy("prefer_own_zone", "Members of the own availability zone are preferred."),
-    policy("spare_primary", "Reads leave the primary a little room."),
-    policy("pool_quotas", "An organisation's rate is held by one VM of each availability zone for all; otherwise each VM has an equal part."),
+    policy("refuse_when_cut_off", "Statements that no reachable member may run are refused at once."),
+    policy("refuse_by_forecast", "Statements that are unlikely to be served in time are refused at once."),
+    policy("unlist_when_cut_off", "A VM that is cut off reports that it is not ready."),
+    policy("move_silent_reads", "A read whose member becomes unresponsive is retried at another member."),
+    policy("leave_room", "Half of the connections to a member are reserved for statements that have waited."),
+    policy("visit", "If there are more VMs than connections to a member, VMs open temporary connections on demand."),
+    policy("pause_lagging", "A replica that refused a read because it lags is skipped for a short time."),
+    policy("prefer_own_zone", "Members in the VM's own availability zone are preferred."),
+    policy("spare_primary", "Reads leave some capacity of the primary free."),
+    policy("pool_quotas", "One VM of each availability zone enforces an organisation's rate limit for all; otherwise each VM enforces an equal share."),
 };
 
 constexpr std::array sessionsFields{
-    field("vm_name", FieldType::Name, true, "Name of this VM; a process that is started again keeps it."),
-    field("ready_address", FieldType::Address, true, "Tells the platform here whether this VM takes new clients."),
-    field("promotion_address", FieldType::Address, true, "The platform's call that makes a member the primary."),
-    FieldInfo{"drain_ms", FieldType::Integer, "ms", false, "6000", 1000, maxDrainMillis, "Time from the request to end until the platform kills the process."},
+    field("vm_name", FieldType::Name, true, "Name of this VM; it stays the same when the process restarts."),
+    field("ready_address", FieldType::Address, true, "Address of the readiness endpoint, which tells the platform whether this VM accepts new clients."),
+    field("promotion_address", FieldType::Address, true, "Address of the platform's promotion API, which makes a member the primary."),
+    FieldInfo{"drain_ms",
+              FieldType::Integer,
+              "ms",
+              false,
+              "6000",
+              1000,
+              maxDrainMillis,
+              "Time from the termination signal until the platform kills the process."},
     FieldInfo{"policies", FieldType::Object, "", false, "", 0, 0, "Switches policies off, for experiments; all are on if absent.", &policiesObject},
 };
 
 constexpr std::array settingsFields{
     field("name", FieldType::Name, false, "Name of the process in its log; the advertised address if absent."),
-    field("availability_zone", FieldType::Name, true, "Availability zone that the VM stands in, as the configuration names it."),
-    field("caller_address", FieldType::Address, true, "Listens here for callers."),
-    field("peer_address", FieldType::Address, true, "Listens here for other proxies."),
-    field("advertised_address", FieldType::Address, false, "Where other proxies reach this one; peer_address if absent. Needed if that is 0.0.0.0 or [::]."),
-    field("platform_address", FieldType::Address, true, "The platform's object API."),
-    field("metrics_address", FieldType::Address, false, "Serves metrics here for Prometheus; none if absent."),
-    FieldInfo{"seeds", FieldType::Addresses, "", false, "[]", 0, maxSeeds, "Peer addresses of proxies to ask when the platform cannot be reached."},
+    field("availability_zone", FieldType::Name, true, "Availability zone in which the VM runs, as named in the configuration."),
+    field("caller_address", FieldType::Address, true, "Listening address for callers."),
+    field("peer_address", FieldType::Address, true, "Listening address for other proxies."),
+    field("advertised_address",
+          FieldType::Address,
+          false,
+          "Address at which other proxies reach this one; peer_address if absent. Required if that is 0.0.0.0 or [::]."),
+    field("platform_address", FieldType::Address, true, "Address of the platform's object API."),
+    field("metrics_address", FieldType::Address, false, "Listening address for Prometheus metrics; no metrics are served if absent."),
+    FieldInfo{"seeds", FieldType::Addresses, "", false, "[]", 0, maxSeeds, "Peer addresses of proxies to contact when the platform is unreachable."},
     file("log_file", false, "Log events are appended to this file; standard error if absent."),
     FieldInfo{"log_level", FieldType::Choice, "", false, R"("info")", 0, 0, "Events below this severity are not written.", nullptr, "debug info warning error"},
-    FieldInfo{"caller_tls", FieldType::Object, "", false, "", 0, 0, "TLS towards callers; plain text if absent.", &callerTlsObject},
-    FieldInfo{"peer_tls", FieldType::Object, "", false, "", 0, 0, "TLS between proxies; plain text if absent.", &peerTlsObject},
+    FieldInfo{"caller_tls", FieldType::Object, "", false, "", 0, 0, "TLS for connections from callers; plain text if absent.", &callerTlsObject},
+    FieldInfo{"peer_tls", FieldType::Object, "", false, "", 0, 0, "TLS for connections between proxies; plain text if absent.", &peerTlsObject},
     FieldInfo{"sessions",
               FieldType::Object,
               "",
@@ -79,7 +89,7 @@
               "",
               0,
               0,
-              "Serves database sessions on the users' platform in place of figward's own protocol.",
+              "Serves database sessions on the users' platform instead of figward's own protocol.",
               &sessionsObject},
 };
 
@@ -110,17 +120,17 @@
     if (node == nullptr) {
         return policies;
     }
-    const auto isOn = [&](std::string_view name) { return booleanField(*node, policiesObject, name); };
-    policies.refusesWhenCutOff_ = isOn("refuse_when_cut_off");
-    policies.refusesByForecast_ = isOn("refuse_by_forecast");
-    policies.unlistsWhenCutOff_ = isOn("unlist_when_cut_off");
-    policies.movesSilentReads_ = isOn("move_silent_reads");
-    policies.leavesRoom_ = isOn("leave_room");
-    policies.visits_ = isOn("visit");
-    policies.pausesLagging_ = isOn("pause_lagging");
-    policies.prefersOwnZone_ = isOn("prefer_own_zone");
-    policies.sparesPrimary_ = isOn("spare_primary");
-    policies.poolsQuota_ = isOn("pool_quotas");
+    const auto isEnabled = [&](std::string_view name) { return booleanField(*node, policiesObject, name); };
+    policies.refusesWhenCutOff_ = isEnabled("refuse_when_cut_off");
+    policies.refusesByForecast_ = isEnabled("refuse_by_forecast");
+    policies.unlistsWhenCutOff_ = isEnabled("unlist_when_cut_off");
+    policies.movesSilentReads_ = isEnabled("move_silent_reads");
+    policies.leavesRoom_ = isEnabled("leave_room");
+    policies.visits_ = isEnabled("visit");
+    policies.pausesLagging_ = isEnabled("pause_lagging");
+    policies.prefersOwnZone_ = isEnabled("prefer_own_zone");
+    policies.sparesPrimary_ = isEnabled("spare_primary");
+    policies.poolsQuota_ = isEnabled("pool_quotas");
     return policies;
 }
 
@@ -163,22 +173,22 @@
     return settings;
 }
 
-bool isWildcard(std::string_view address)
+bool isWildcard(std::string_view text)
 {
-    return address.starts_with("0.0.0.0:") || address.starts_with("[::]:");
+    return text.starts_with("0.0.0.0:") || text.starts_with("[::]:");
 }
 
-/** A proxy that told others to reach it at 0.0.0.0 would be sent nothing: each of them would call itself. */
+/** Reports a wildcard address as the advertised address: a proxy that connects to 0.0.0.0 reaches itself, so nothing would arrive at this one. */
 void checkAdvertised(const JsonNode &root, TextProblems &problems)
 {
     const JsonNode *advertised = findMember(root, "advertised_address");
     const std::string_view name = advertised != nullptr ? "advertised_address" : "peer_address";
-    const JsonNode *effective = findMember(root, name);
-    if (effective != nullptr && isWildcard(effective->text_)) {
+    const JsonNode *address = findMember(root, name);
+    if (address != nullptr && isWildcard(address->text_)) {
         problems.add(TextProblemKind::InvalidValue,
-                     effective->offset_,
+                     address->offset_,
                      childPointer("", name),
-                     "other proxies cannot reach this address; give advertised_address the IP number of this VM");
+                     "other proxies cannot reach this address; set advertised_address to an IP address of this VM");
     }
 }
 
--- a/src/Settings.h
+++ b/src/Settings.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines what one process learns from its settings file (JSON with comments): its addresses, availability zone, platform and log.
+ * Defines the settings of one process, read from its settings file (JSON with comments): addresses, availability zone, platform and log.
  */
 #pragma once
 
@@ -16,22 +16,22 @@
 
 namespace Figward {
 
-/** Files in PEM for TLS. */
+/** Paths of PEM files for TLS. */
 struct TlsFiles
 {
     std::string certificateFile_;
     std::string keyFile_;
-    std::string caFile_; ///< Those that sign the other side's certificate; empty: none is asked for.
+    std::string caFile_; ///< CA certificates that verify the peer's certificate; if empty, no peer certificate is requested.
     bool operator==(const TlsFiles &) const = default;
 };
 
-/** How a process serves database sessions on the users' platform. */
+/** Settings of a process that serves database sessions on the users' platform. */
 struct SessionSettings
 {
     std::string vmName_;
-    std::string readyAddress_; ///< Tells the platform whether it should send new clients here.
-    std::string promotionAddress_; ///< The platform's call that makes a member the primary.
-    std::int64_t drainMillis_ = 0; ///< Time that the platform gives a process to end.
+    std::string readyAddress_; ///< Address of the readiness endpoint, which tells the platform whether to route new clients to this VM.
+    std::string promotionAddress_; ///< Address of the platform's promotion API, which makes a member the primary.
+    std::int64_t drainMillis_ = 0; ///< Time from the termination signal until the platform kills the process.
     SessionPolicies policies_;
     bool operator==(const SessionSettings &) const = default;
 };
@@ -39,32 +39,32 @@
 /** Settings of one proxy process. */
 struct Settings
 {
-    std::string name_; ///< Of the process in logs; the advertised address if the file names none.
+    std::string name_; ///< Name of the process in logs; the advertised address if the file sets none.
     ZoneId zone_;
-    std::string callerAddress_; ///< Listens here for callers.
-    std::string peerAddress_; ///< Listens here for other proxies.
-    std::string advertisedAddress_; ///< Where other proxies reach this one; the peer address if the file names none.
+    std::string callerAddress_; ///< Listening address for callers.
+    std::string peerAddress_; ///< Listening address for other proxies.
+    std::string advertisedAddress_; ///< Address at which other proxies reach this one; the peer address if the file sets none.
     std::string platformAddress_;
-    std::string metricsAddress_; ///< Empty: no metrics are served.
-    std::vector<std::string> seeds_; ///< Peer addresses of proxies to ask when the platform cannot be reached.
-    std::string logFile_; ///< Empty: standard error.
+    std::string metricsAddress_; ///< If empty, no metrics are served.
+    std::vector<std::string> seeds_; ///< Peer addresses of proxies to contact when the platform is unreachable.
+    std::string logFile_; ///< If empty, the log goes to a standard stream.
     LogLevel logLevel_ = LogLevel::Info;
     std::optional<TlsFiles> callerTls_;
     std::optional<TlsFiles> peerTls_;
-    std::optional<SessionSettings> sessions_; ///< Present: the process serves database sessions in place of figward's own protocol.
+    std::optional<SessionSettings> sessions_; ///< If set, the process serves database sessions instead of figward's own protocol.
 };
 
-/** Settings that were checked: present if and only if there are no problems. */
+/** Result of checkSettings(). It contains settings if and only if there are no problems. */
 struct CheckedSettings
 {
     std::optional<Settings> settings_;
     std::vector<TextProblem> problems_; ///< In the order of the text.
 };
 
-/** Checks \p text in full and names all its mistakes in one run. */
+/** Validates all of \p text and reports all errors in one pass. */
 CheckedSettings checkSettings(std::string_view text);
 
-/** The whole text, and the objects in it. docs/CONFIGURATION.md shows the same rows. */
+/** Schemas of the root object and of the nested objects. docs/CONFIGURATION.md contains the same table rows. */
 extern const ObjectInfo settingsObject;
 extern const ObjectInfo callerTlsObject;
 extern const ObjectInfo peerTlsObject;
--- a/src/SettingsReload.cpp
+++ b/src/SettingsReload.cpp
@@ -7,33 +7,33 @@
 
 namespace {
 
-/** Names of settings that differ and hold from the next start: what they name is open or known to other processes already. */
-std::vector<std::string> changedForNextStart(const Settings &before, const Settings &after)
+/** Returns the names of changed settings that take effect only at the next start, since their addresses and files are open or known to other processes. */
+std::vector<std::string> changesForNextStart(const Settings &current, const Settings &updated)
 {
     std::vector<std::string> names;
-    const auto compare = [&](const char *name, const auto &one, const auto &other) {
-        if (!(one == other)) {
+    const auto compare = [&](const char *name, const auto &currentValue, const auto &updatedValue) {
+        if (!(currentValue == updatedValue)) {
             names.emplace_back(name);
         }
     };
-    compare("name", before.name_, after.name_);
-    compare("availability_zone", before.zone_, after.zone_);
-    compare("caller_address", before.callerAddress_, after.callerAddress_);
-    compare("peer_address", before.peerAddress_, after.peerAddress_);
-    compare("advertised_address", before.advertisedAddress_, after.advertisedAddress_);
-    compare("platform_address", before.platformAddress_, after.platformAddress_);
-    compare("metrics_address", before.metricsAddress_, after.metricsAddress_);
-    compare("seeds", before.seeds_, after.seeds_);
-    compare("log_file", before.logFile_, after.logFile_);
-    compare("caller_tls", before.callerTls_, after.callerTls_);
-    compare("peer_tls", before.peerTls_, after.peerTls_);
-    compare("sessions", before.sessions_, after.sessions_);
+    compare("name", current.name_, updated.name_);
+    compare("availability_zone", current.zone_, updated.zone_);
+    compare("caller_address", current.callerAddress_, updated.callerAddress_);
+    compare("peer_address", current.peerAddress_, updated.peerAddress_);
+    compare("advertised_address", current.advertisedAddress_, updated.advertisedAddress_);
+    compare("platform_address", current.platformAddress_, updated.platformAddress_);
+    compare("metrics_address", current.metricsAddress_, updated.metricsAddress_);
+    compare("seeds", current.seeds_, updated.seeds_);
+    compare("log_file", current.logFile_, updated.logFile_);
+    compare("caller_tls", current.callerTls_, updated.callerTls_);
+    compare("peer_tls", current.peerTls_, updated.peerTls_);
+    compare("sessions", current.sessions_, updated.sessions_);
     return names;
 }
 
 } // namespace
 
-SettingsReload reloadSettings(const Settings &inForce, std::string_view text)
+SettingsReload reloadSettings(const Settings &current, std::string_view text)
 {
     const CheckedSettings checked = checkSettings(text);
     SettingsReload reload;
@@ -47,9 +47,9 @@
         return reload;
     }
     reload.settings_ = checked.settings_;
-    reload.logLevelChanged_ = checked.settings_->logLevel_ != inForce.logLevel_;
+    reload.logLevelChanged_ = checked.settings_->logLevel_ != current.logLevel_;
     reload.fields_ = {{"applied", reload.logLevelChanged_ ? "log_level" : "-"},
-                      {"at_next_start", absl::StrJoin(changedForNextStart(inForce, *checked.settings_), ",")}};
+                      {"at_next_start", absl::StrJoin(changesForNextStart(current, *checked.settings_), ",")}};
     return reload;
 }
 
--- a/src/SettingsReload.h
+++ b/src/SettingsReload.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines what becomes of settings that are read again while the process runs.
+ * Defines the reload of settings while the process runs.
  */
 #pragma once
 
@@ -8,16 +8,16 @@
 
 namespace Figward {
 
-/** What a new text of the settings comes to. */
+/** Result of reloadSettings(). */
 struct SettingsReload
 {
-    std::optional<Settings> settings_; ///< None: the text has mistakes, and the settings before hold.
-    bool logLevelChanged_ = false; ///< Takes effect at once.
+    std::optional<Settings> settings_; ///< Empty if the text has errors; the current settings stay active.
+    bool logLevelChanged_ = false; ///< The log level takes effect at once; other settings need a restart.
     LogNumber number_ = LogNumber::SettingsRead; ///< The event to log.
     std::vector<LogField> fields_;
 };
 
-/** Compares \p text with the settings that the process was started with, \p inForce. */
-SettingsReload reloadSettings(const Settings &inForce, std::string_view text);
+/** Validates \p text and compares it with the \p current settings of the process. */
+SettingsReload reloadSettings(const Settings &current, std::string_view text);
 
 } // namespace Figward
--- a/src/TextProblem.h
+++ b/src/TextProblem.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines how a mistake in a text that an operator wrote is named: kind, line, column, JSON pointer and a sentence.
+ * Defines the report of an error in an operator-written text (configuration or settings): kind, line, column, JSON pointer and message.
  */
 #pragma once
 
@@ -9,43 +9,43 @@
 
 namespace Figward {
 
-/** What is wrong at one place of a text. */
+/** Kind of an error in a text. */
 enum class TextProblemKind {
     Syntax,
     UnknownField,
     MissingField,
     WrongType,
     OutOfRange,
-    InvalidValue, ///< Of the right type, but not a name, an address or a number of members that figward accepts.
+    InvalidValue, ///< The type is right, but the value is not a valid name, address, choice or number of members.
     Duplicate,
-    UnknownName, ///< Refers to a service that the text does not define.
-    Cycle, ///< Services depend on each other in a circle.
+    UnknownName, ///< Reference to a service that the text does not define.
+    Cycle, ///< The dependencies of services form a cycle.
 };
 
-/** One mistake in a text, placed. */
+/** An error in a text, with its location. */
 struct TextProblem
 {
     TextProblemKind kind_ = TextProblemKind::Syntax;
-    unsigned line_ = 0; ///< From 1.
-    unsigned column_ = 0; ///< From 1, in bytes.
-    std::string pointer_; ///< JSON pointer of the place; empty for the whole text.
+    unsigned line_ = 0; ///< 1-based.
+    unsigned column_ = 0; ///< 1-based, in bytes.
+    std::string pointer_; ///< JSON pointer of the erroneous value; empty for the whole text.
     std::string detail_;
     bool operator==(const TextProblem &) const = default;
 };
 
-/** Name of \p kind as it stands in reports, such as "unknown-field". */
+/** Returns the name of \p kind that reports print, such as "unknown-field". */
 std::string_view toString(TextProblemKind kind);
 
-/** Collects the mistakes of one text, by offset. */
+/** Collects the errors of one text and converts byte offsets to lines and columns. */
 class TextProblems
 {
 public:
     explicit TextProblems(std::string_view text);
 
-    /** Notes a mistake at byte \p offset of the text. */
+    /** Records an error at byte \p offset of the text. */
     void add(TextProblemKind kind, std::size_t offset, std::string pointer, std::string detail);
     [[nodiscard]] bool empty() const;
-    /** All mistakes in the order of the text. */
+    /** Returns all errors, sorted by their position in the text, and clears the collection. */
     [[nodiscard]] std::vector<TextProblem> take();
 
 private:
@@ -53,9 +53,9 @@
     std::vector<TextProblem> problems_;
 };
 
-/** \p pointer extended by the object key \p key, escaped as RFC 6901 asks. */
+/** Returns \p pointer extended by the object key \p key, escaped as RFC 6901 requires. */
 std::string childPointer(std::string_view pointer, std::string_view key);
-/** \p pointer extended by the array index \p index. */
+/** Returns \p pointer extended by the array index \p index. */
 std::string childPointer(std::string_view pointer, std::size_t index);
 
 } // namespace Figward
--- a/src/TimeLine.cpp
+++ b/src/TimeLine.cpp
@@ -59,27 +59,25 @@
     std::ranges::stable_sort(timeLine.events_, {}, &LogLine::time_);
 }
 
-TimeLine followRequest(const TimeLine &timeLine, const std::string &id, std::chrono::milliseconds around)
+TimeLine followRequest(const TimeLine &timeLine, const std::string &id, std::chrono::milliseconds margin)
 {
-    const auto concerns = [&](const LogLine &event) {
+    const auto hasRequestId = [&](const LogLine &event) {
         return std::ranges::any_of(event.fields_, [&](const LogField &field) { return field.key_ == "id" && field.value_ == id; });
     };
-    const auto aboutSomeRequest = [](const LogLine &event) {
-        return std::ranges::any_of(event.fields_, [](const LogField &field) { return field.key_ == "id"; });
-    };
-    const auto first = std::ranges::find_if(timeLine.events_, concerns);
-    TimeLine followed;
+    const auto hasAnyId = [](const LogLine &event) { return std::ranges::any_of(event.fields_, [](const LogField &field) { return field.key_ == "id"; }); };
+    const auto first = std::ranges::find_if(timeLine.events_, hasRequestId);
+    TimeLine filtered;
     if (first == timeLine.events_.end()) {
-        return followed;
+        return filtered;
     }
-    const auto last = std::ranges::find_if(timeLine.events_.rbegin(), timeLine.events_.rend(), concerns);
+    const auto last = std::ranges::find_if(timeLine.events_.rbegin(), timeLine.events_.rend(), hasRequestId);
     for (const LogLine &event : timeLine.events_) {
-        const bool near = event.time_ >= first->time_ - around && event.time_ <= last->time_ + around;
-        if (concerns(event) || (near && !aboutSomeRequest(event))) {
-            followed.events_.push_back(event);
+        const bool near = event.time_ >= first->time_ - margin && event.time_ <= last->time_ + margin;
+        if (hasRequestId(event) || (near && !hasAnyId(event))) {
+            filtered.events_.push_back(event);
         }
     }
-    return followed;
+    return filtered;
 }
 
 void writeText(const TimeLine &timeLine, std::ostream &out)
@@ -88,15 +86,15 @@
     for (const LogLine &event : timeLine.events_) {
         width = std::max(width, event.process_.size());
     }
-    LogTime before = timeLine.events_.empty() ? LogTime() : timeLine.events_.front().time_;
+    LogTime previous = timeLine.events_.empty() ? LogTime() : timeLine.events_.front().time_;
     for (const LogLine &event : timeLine.events_) {
-        const auto gap = (event.time_ - before).count();
+        const auto gap = (event.time_ - previous).count();
         out << absl::StrFormat("%s %+7d ms  %-*s %d %s", formatTime(event.time_), gap, static_cast<int>(width), event.process_, event.number_, event.name_);
         for (const LogField &field : event.fields_) {
             out << ' ' << field.key_ << '=' << field.value_;
         }
         out << '\n';
-        before = event.time_;
+        previous = event.time_;
     }
 }
 
--- a/src/TimeLine.h
+++ b/src/TimeLine.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines the time line of events over all processes: their logs merged, as text and as Chrome trace JSON.
+ * Defines the merged timeline of the log events of several processes, and its output as text and as Chrome trace JSON.
  */
 #pragma once
 
@@ -11,32 +11,32 @@
 
 namespace Figward {
 
-/** A line of a log that cannot be read, such as the last one of a process that was killed. */
+/** A line of a log that cannot be parsed, such as an incomplete last line of a process that was killed. */
 struct UnreadableLine
 {
     std::string file_;
-    std::size_t line_ = 0; ///< From 1.
+    std::size_t line_ = 0; ///< 1-based.
 };
 
-/** Events of several processes. */
+/** Log events of several processes. */
 struct TimeLine
 {
     std::vector<LogLine> events_;
     std::vector<UnreadableLine> unreadable_;
 };
 
-/** Adds the log in \p in to \p timeLine. */
+/** Adds the log that \p in contains to \p timeLine. \p file is the name used in reports of unreadable lines. */
 void addLog(TimeLine &timeLine, std::istream &in, const std::string &file);
-/** Orders the events by time. Events of the same millisecond keep the order in which they were added, so that each process's own order stays. */
+/** Sorts the events by time. Events of the same millisecond stay in the order in which they were added, which preserves the order within each process. */
 void orderByTime(TimeLine &timeLine);
 /**
- * What concerns the request \p id, over all processes: the lines that carry the id, and what any process came to believe (of the members, the store, the
- * configuration) from \p around before the first of them to \p around after the last. Lines about other requests are left out.
+ * Returns the events related to the request \p id over all processes: the lines with this id, and the lines without any id (state changes of members, the
+ * store or the configuration) from \p margin before the first line of the request to \p margin after its last. Lines of other requests are omitted.
  */
-TimeLine followRequest(const TimeLine &timeLine, const std::string &id, std::chrono::milliseconds around);
-/** Writes one line an event: time, milliseconds since the event before, process, number, name and fields. */
+TimeLine followRequest(const TimeLine &timeLine, const std::string &id, std::chrono::milliseconds margin);
+/** Writes one line for each event: time, milliseconds since the previous event, process, number, name and fields. */
 void writeText(const TimeLine &timeLine, std::ostream &out);
-/** Writes the JSON that chrome://tracing and Perfetto read: a track for each process, an instant for each event. */
+/** Writes JSON for chrome://tracing and Perfetto: a track for each process, and an instant event for each log event. */
 void writeChromeTrace(const TimeLine &timeLine, std::ostream &out);
 
 } // namespace Figward
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,5 +1,5 @@
 /** \file
- * The one binary: hands the command line to the command that it names.
+ * Entry point of the figward executable, which runs the command named on the command line.
  */
 #include "Command.h"
 
--- a/test/correctness/ConfigurationTextAccepted.cpp
+++ b/test/correctness/ConfigurationTextAccepted.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-Configuration accept(const std::string &text)
+Configuration parseOrFail(const std::string &text)
 {
     CheckedConfiguration checked = checkConfiguration(text);
     for (const TextProblem &problem : checked.problems_) {
@@ -17,7 +17,7 @@
     return checked.configuration_.value_or(Configuration{});
 }
 
-constexpr const char *smallest = R"({"services": [{"name": "s", "groups": [{"name": "g", "connection_limit": 1, "slots": 1, "members": [
+constexpr const char *minimalConfiguration = R"({"services": [{"name": "s", "groups": [{"name": "g", "connection_limit": 1, "slots": 1, "members": [
     {"name": "a", "zone": "z", "address": "127.0.0.1:1"},
     {"name": "b", "zone": "z", "address": "127.0.0.1:2"},
     {"name": "c", "zone": "z", "address": "[::1]:65535"}]}]}]})";
@@ -26,7 +26,7 @@
 
 TEST(ConfigurationTextAccepted, exampleOfConsorcio)
 {
-    const Configuration configuration = accept(Figward::Testing::readRepositoryFile("examples/consorcio.json"));
+    const Configuration configuration = parseOrFail(Figward::Testing::readRepositoryFile("examples/consorcio.json"));
     ASSERT_EQ(configuration.groups_.size(), 3U);
     const GroupConfig &group = configuration.groups_.at(GroupId("tyres-2"));
     EXPECT_EQ(group.service_, ServiceId("tyre-ledger"));
@@ -40,14 +40,14 @@
 
 TEST(ConfigurationTextAccepted, exampleOfMagnolia)
 {
-    const Configuration configuration = accept(Figward::Testing::readRepositoryFile("examples/magnolia.json"));
+    const Configuration configuration = parseOrFail(Figward::Testing::readRepositoryFile("examples/magnolia.json"));
     ASSERT_EQ(configuration.groups_.size(), 3U);
     EXPECT_EQ(configuration.groups_.at(GroupId("valuation-3")).connectionLimit_, ConnectionCount(55));
 }
 
 TEST(ConfigurationTextAccepted, defaultsAreThoseOfTheStructs)
 {
-    const Configuration configuration = accept(smallest);
+    const Configuration configuration = parseOrFail(minimalConfiguration);
     const Policy expected;
     const Policy &policy = configuration.policy_;
     EXPECT_EQ(policy.ownersPerGroup_, expected.ownersPerGroup_);
@@ -66,7 +66,7 @@
 
 TEST(ConfigurationTextAccepted, memberCanBeReplacedThroughAGroupOfFour)
 {
-    const Configuration configuration = accept(R"({"services": [{"name": "s", "groups": [{"name": "g", "connection_limit": 1, "slots": 1, "members": [
+    const Configuration configuration = parseOrFail(R"({"services": [{"name": "s", "groups": [{"name": "g", "connection_limit": 1, "slots": 1, "members": [
         {"name": "a", "zone": "z", "address": "127.0.0.1:1"},
         {"name": "b", "zone": "z", "address": "127.0.0.1:2", "leaving": true},
         {"name": "c", "zone": "z", "address": "127.0.0.1:3"},
@@ -81,7 +81,7 @@
     EXPECT_THAT(parts, ElementsAre(Field(&ConfigurationPart::name_, "policy"), Field(&ConfigurationPart::name_, "service/tyre-ledger")));
     EXPECT_EQ(parts[0].text_, R"({"missed_probes":2})");
     const std::string joined = joinConfiguration(parts);
-    EXPECT_EQ(accept(joined).groups_.size(), 3U);
+    EXPECT_EQ(parseOrFail(joined).groups_.size(), 3U);
     const std::vector<ConfigurationPart> again = splitConfiguration(joined);
     ASSERT_EQ(again.size(), parts.size());
     EXPECT_EQ(again[1].text_, parts[1].text_);
--- a/test/correctness/DocumentsMatchTheCode.cpp
+++ b/test/correctness/DocumentsMatchTheCode.cpp
@@ -20,18 +20,18 @@
 
 using Lines = std::vector<std::string>;
 
-/** Table rows of \p document that begin with a cell in backquotes or a number, under the heading "## TITLE" or all if \p title is empty. */
+/** Returns the table rows of \p document that begin with a cell in backquotes or a number: those under the heading "## TITLE", or all if \p title is empty. */
 Lines rowsUnder(const std::string &document, const std::string &title)
 {
     Lines rows;
-    bool inside = title.empty();
+    bool inSection = title.empty();
     const std::string text = Figward::Testing::readRepositoryFile(document);
     for (const absl::string_view piece : absl::StrSplit(text, '\n')) {
         const std::string line(piece);
         if (line.starts_with("## ")) {
-            inside = title.empty() || line == "## " + title;
+            inSection = title.empty() || line == "## " + title;
         }
-        if (inside && (line.starts_with("| `") || (line.size() > 2 && line.starts_with("| ") && line[2] >= '0' && line[2] <= '9'))) {
+        if (inSection && (line.starts_with("| `") || (line.size() > 2 && line.starts_with("| ") && line[2] >= '0' && line[2] <= '9'))) {
             rows.push_back(line);
         }
     }
@@ -59,7 +59,7 @@
 
 std::string rowOf(const FieldInfo &field)
 {
-    const std::string fallback = field.required_ ? "required" : (field.default_.empty() ? "absent" : absl::StrCat("`", std::string(field.default_), "`"));
+    const std::string defaultValue = field.required_ ? "required" : (field.default_.empty() ? "absent" : absl::StrCat("`", std::string(field.default_), "`"));
     return absl::StrCat("| `",
                         std::string(field.name_),
                         "` | ",
@@ -67,7 +67,7 @@
                         " | ",
                         std::string(field.unit_),
                         " | ",
-                        fallback,
+                        defaultValue,
                         " | ",
                         rangeOf(field),
                         " | ",
@@ -107,7 +107,7 @@
     int last = 0;
     for (const LogEventInfo &event : logEventCatalogue()) {
         const int number = static_cast<int>(event.number_);
-        EXPECT_GT(number, last) << "numbers grow and are never used twice";
+        EXPECT_GT(number, last) << "event numbers must be unique and ascending";
         last = number;
         expected.push_back(
             absl::StrCat("| ", number, " | ", std::string(toString(event.level_)), " | ", std::string(event.name_), " | ", std::string(event.meaning_), " |"));
@@ -115,7 +115,7 @@
     EXPECT_THAT(rowsUnder("docs/EVENTS.md", ""), ElementsAreArray(expected)) << absl::StrJoin(expected, "\n");
 }
 
-// An on-call engineer looks a metric up that a process serves, or looks for one that the page names: both must be there.
+// Every metric that a process serves must be documented, and every documented metric must be served.
 TEST(DocumentsMatchTheCode, everyMetric)
 {
     Metrics metrics;
--- a/test/correctness/TimeLineMergesLogs.cpp
+++ b/test/correctness/TimeLineMergesLogs.cpp
@@ -14,7 +14,7 @@
     return "2026-01-02T03:04:" + time + "Z WARN " + body + "\n";
 }
 
-TimeLine merged(const std::vector<std::string> &logs)
+TimeLine mergeLogs(const std::vector<std::string> &logs)
 {
     TimeLine timeLine;
     for (std::size_t i = 0; i < logs.size(); ++i) {
@@ -45,17 +45,17 @@
     }
 }
 
-// A client complains and names a request. Its lines come from two processes; what these and others came to believe around it comes along, other requests and
-// what was long over do not.
+// Filters a timeline by the id of a request whose lines come from two processes. State changes of all processes near these lines are included; lines of other
+// requests and older state changes are not.
 TEST(TimeLineMergesLogs, aRequestIsFollowedOverAllProcesses)
 {
-    const TimeLine timeLine =
-        merged({line("01.000", "416 authority-lost a epoch=1") + line("04.500", "601 store-lost a") + line("05.000", "507 statement-retried a id=r1")
-                    + line("05.100", "505 statement-refused a id=r2"),
-                line("05.200", "505 statement-refused b id=r1") + line("06.000", "417 authority-regained b epoch=2") + line("09.000", "602 store-regained b")});
-    const TimeLine followed = followRequest(timeLine, "r1", std::chrono::milliseconds(1000));
+    const TimeLine timeLine = mergeLogs(
+        {line("01.000", "416 authority-lost a epoch=1") + line("04.500", "601 store-lost a") + line("05.000", "507 statement-retried a id=r1")
+             + line("05.100", "505 statement-refused a id=r2"),
+         line("05.200", "505 statement-refused b id=r1") + line("06.000", "417 authority-regained b epoch=2") + line("09.000", "602 store-regained b")});
+    const TimeLine filtered = followRequest(timeLine, "r1", std::chrono::milliseconds(1000));
     std::vector<int> numbers;
-    for (const LogLine &event : followed.events_) {
+    for (const LogLine &event : filtered.events_) {
         numbers.push_back(event.number_);
     }
     EXPECT_THAT(numbers, ElementsAre(601, 507, 505, 417));
@@ -68,7 +68,7 @@
          {"x", "2026-01-02T03:04:05.678Z WARN", "yesterday WARN 1 n p", "2026-01-02T03:04:05Z WARN one n p", "2026-01-02T03:04:05Z WARN 1 n p k=\"x"}) {
         EXPECT_FALSE(parseLogLine(bad).has_value()) << bad;
     }
-    const TimeLine timeLine = merged({line("05.000", "101 process-started a") + "2026-01-02T03:04:05.1"});
+    const TimeLine timeLine = mergeLogs({line("05.000", "101 process-started a") + "2026-01-02T03:04:05.1"});
     EXPECT_EQ(timeLine.events_.size(), 1U);
     ASSERT_EQ(timeLine.unreadable_.size(), 1U);
     EXPECT_EQ(timeLine.unreadable_[0].file_, "log0");
@@ -77,8 +77,8 @@
 
 TEST(TimeLineMergesLogs, eventsOfAllProcessesInOrder)
 {
-    const TimeLine timeLine = merged({line("05.000", "402 failover-started a group=g") + line("05.250", "403 primary-promoted a group=g"),
-                                      line("04.900", "401 member-suspected bb group=g") + line("05.000", "401 member-suspected bb group=h")});
+    const TimeLine timeLine = mergeLogs({line("05.000", "402 failover-started a group=g") + line("05.250", "403 primary-promoted a group=g"),
+                                         line("04.900", "401 member-suspected bb group=g") + line("05.000", "401 member-suspected bb group=h")});
     std::ostringstream text;
     writeText(timeLine, text);
     EXPECT_EQ(text.str(),
@@ -91,7 +91,7 @@
 TEST(TimeLineMergesLogs, chromeTraceHasATrackForEachProcess)
 {
     std::ostringstream text;
-    writeChromeTrace(merged({line("05.000", "101 process-started a zone=z"), line("05.000", "101 process-started b zone=y")}), text);
+    writeChromeTrace(mergeLogs({line("05.000", "101 process-started a zone=z"), line("05.000", "101 process-started b zone=y")}), text);
     const boost::json::value trace = boost::json::parse(text.str());
     const boost::json::array &events = trace.at("traceEvents").as_array();
     ASSERT_EQ(events.size(), 4U);
--- a/test/error/CommandsRefuseBadInput.cpp
+++ b/test/error/CommandsRefuseBadInput.cpp
@@ -1,5 +1,5 @@
-// An operator mistypes an option or names a file that does not exist. Each command has to print a clear line and end with the exit code
-// for bad input, so that a script does not take the run for a success, and must never crash.
+// A mistyped option or a file that does not exist must make a command print an error and exit with the code for bad input. Otherwise a script would take the
+// run for a success. No command may crash.
 
 #include "Command.h"
 #include "support/TestFiles.h"
@@ -28,7 +28,7 @@
     return {code, testing::internal::GetCapturedStdout(), testing::internal::GetCapturedStderr()};
 }
 
-/** A file in the temporary directory with \p text in it. */
+/** Creates a file with content \p text in the temporary directory and returns its path. */
 std::string fileWith(const std::string &name, const std::string &text)
 {
     std::string path = (std::filesystem::path(testing::TempDir()) / name).string();
--- a/test/error/ConfigurationMistakesAreAllNamed.cpp
+++ b/test/error/ConfigurationMistakesAreAllNamed.cpp
@@ -1,5 +1,5 @@
-// An operator applies a text with several slips in the evening. One run of the checker has to name them all, each with its place,
-// so that they are mended in one go; a text with any mistake gives no configuration at all, so none of it can come into force.
+// One run of the validation must report all errors of a text with their locations, so that an operator can fix them at once. A text with any error must yield
+// no configuration, so that no part of it can become active.
 
 #include "ConfigurationText.h"
 
@@ -11,7 +11,7 @@
 
 namespace {
 
-/** "LINE:COLUMN kind pointer" of each mistake. */
+/** Returns "LINE:COLUMN kind pointer" for each error in \p text. */
 std::vector<std::string> mistakes(std::string_view text)
 {
     const CheckedConfiguration checked = checkConfiguration(text);
@@ -24,7 +24,7 @@
     return lines;
 }
 
-/** A text whose only group has \p members; they begin in line 2, column 1. */
+/** Returns a text whose only group has \p members, which begin in line 2, column 1. */
 std::string withMembers(const std::string &members)
 {
     return R"({"services": [{"name": "s", "groups": [{"name": "g", "connection_limit": 9, "slots": 5, "members":)"
@@ -36,7 +36,7 @@
 const std::string b = R"({"name": "b", "zone": "z", "address": "127.0.0.1:2"})";
 const std::string c = R"({"name": "c", "zone": "z", "address": "127.0.0.1:3"})";
 
-/** Two services, each with a group, that depend on \p first and \p second. */
+/** Returns a text with two services, each with a group, whose dependencies are \p first and \p second. */
 std::string withDependencies(const std::string &first, const std::string &second)
 {
     const auto service = [](const std::string &name, const std::string &port, const std::string &dependsOn) {
--- a/test/error/LogIsNotRead.cpp
+++ b/test/error/LogIsNotRead.cpp
@@ -17,7 +17,7 @@
 
 using Clock = std::chrono::steady_clock;
 
-/** Both ends of a pipe; closed at the end of the test. */
+/** A pipe; both ends are closed by the destructor. */
 struct Pipe
 {
     Pipe()
@@ -41,17 +41,17 @@
         }
     }
 
-    /** All that can be read now, as lines. */
+    /** Reads and parses all lines until the pipe has been empty for 200 ms. */
     [[nodiscard]] std::vector<LogLine> drain() const
     {
         fcntl(ends_[0], F_SETFL, O_NONBLOCK);
         std::string text;
         std::array<char, 65536> part{};
-        // The writer looks for room every 50 ms.
-        for (int quiet = 0; quiet < 20; ++quiet) {
+        // The writer polls a full pipe every 50 ms.
+        for (int emptyReads = 0; emptyReads < 20; ++emptyReads) {
             for (ssize_t size = read(ends_[0], part.data(), part.size()); size > 0; size = read(ends_[0], part.data(), part.size())) {
                 text.append(part.data(), static_cast<std::size_t>(size));
-                quiet = 0;
+                emptyReads = 0;
             }
             std::this_thread::sleep_for(std::chrono::milliseconds(10));
         }
@@ -61,7 +61,7 @@
             if (std::optional<LogLine> read = parseLogLine(line)) {
                 lines.push_back(*std::move(read));
             } else {
-                ADD_FAILURE() << "no log line: " << line;
+                ADD_FAILURE() << "not a log line: " << line;
             }
         }
         return lines;
@@ -75,8 +75,8 @@
     return static_cast<std::size_t>(std::ranges::count(lines, static_cast<int>(number), &LogLine::number_));
 }
 
-/** Sum of what the lines say was dropped. */
-std::uint64_t droppedTold(const std::vector<LogLine> &lines)
+/** Returns the sum of the dropped lines that the LinesDropped events in \p lines report. */
+std::uint64_t reportedDrops(const std::vector<LogLine> &lines)
 {
     std::uint64_t sum = 0;
     for (const LogLine &line : lines) {
@@ -91,8 +91,8 @@
 
 } // namespace
 
-// Nobody reads the log, and the process goes on deciding a hundred times as much as usual. Writing a line never waits: the pipe holds 64 KiB and the buffer
-// four times as much, then lines are dropped and counted. Lines out of the ordinary still find room when ordinary ones do not.
+// Nobody reads the log while the process logs a hundred times as much as usual. Writing a line must not block: when the pipe (64 KiB) and the buffer (four
+// times as much) are full, lines are dropped and counted. Important lines are still accepted when ordinary ones are dropped.
 TEST(LogIsNotRead, nothingWaitsAndDropsAreCounted)
 {
     const Pipe pipe;
@@ -108,19 +108,19 @@
     const std::uint64_t ordinaryDropped = log.droppedLines();
     EXPECT_GT(ordinaryDropped, lines / 2);
     log.write(LogNumber::StatementRefused, fields);
-    EXPECT_EQ(log.droppedLines(), ordinaryDropped) << "there is room for what is out of the ordinary";
+    EXPECT_EQ(log.droppedLines(), ordinaryDropped) << "the buffer must have room for important lines";
     const std::vector<LogLine> written = pipe.drain();
     EXPECT_EQ(countOf(written, LogNumber::StatementRefused), 1U);
     EXPECT_EQ(countOf(written, LogNumber::StatementDone) + ordinaryDropped, lines);
-    // The next line after the pipe is read again tells how many are missing, by kind.
+    // After the pipe has been read, the next line is preceded by a report of the number of dropped lines by kind.
     std::this_thread::sleep_for(std::chrono::milliseconds(1100));
     log.write(LogNumber::ProcessStopped, {});
     const std::vector<LogLine> later = pipe.drain();
     EXPECT_EQ(countOf(later, LogNumber::LinesDropped), 1U);
-    EXPECT_EQ(droppedTold(written) + droppedTold(later), ordinaryDropped);
+    EXPECT_EQ(reportedDrops(written) + reportedDrops(later), ordinaryDropped);
 }
 
-// The reader of the log is gone. Writing goes on at no cost; the signal that the system sends for a closed pipe does not end the process.
+// The reader of the log has closed the pipe. Writing must not block, and SIGPIPE must not end the process.
 TEST(LogIsNotRead, aReaderThatIsGoneEndsNothing)
 {
     Pipe pipe;
@@ -131,37 +131,37 @@
     }
     const auto start = Clock::now();
     log.flush(std::chrono::seconds(5));
-    EXPECT_LT(Clock::now() - start, std::chrono::seconds(4)) << "lines for nobody are let go";
+    EXPECT_LT(Clock::now() - start, std::chrono::seconds(4)) << "lines must be discarded when the reader has closed the pipe";
 }
 
-// One cause refuses 5,000 statements in a second, at a hundred times the usual load. The kind of line that tells of each is bounded, the line that tells of
-// the cause comes through, and a line names how many were left out.
+// A single cause leads to 5,000 refused statements in a second, at a hundred times the usual load. The log lines for the refused statements are limited, the
+// lines about the cause are all written, and a report states the number of dropped lines.
 TEST(LogIsNotRead, aFloodOfOneKindLeavesRoomForTheOthers)
 {
     LogBudget budget;
     const Time start{std::chrono::seconds(1000)};
     unsigned refused = 0;
     unsigned causes = 0;
-    std::uint64_t told = 0;
+    std::uint64_t reported = 0;
     for (int milli = 0; milli < 1000; ++milli) {
         const Time now = start + std::chrono::milliseconds(milli);
         for (int line = 0; line < 5; ++line) {
-            if (takeLine(budget, LogNumber::StatementRefused, now)) {
+            if (tryTakeLine(budget, LogNumber::StatementRefused, now)) {
                 ++refused;
             } else {
-                noteDropped(budget, LogNumber::StatementRefused);
+                countDroppedLine(budget, LogNumber::StatementRefused);
             }
         }
-        causes += milli % 100 == 0 && takeLine(budget, LogNumber::PrimaryRevoked, now) ? 1 : 0;
-        if (const std::vector<LogField> dropped = takeDropped(budget, now); !dropped.empty()) {
-            told += std::stoull(dropped[0].value_);
+        causes += milli % 100 == 0 && tryTakeLine(budget, LogNumber::PrimaryRevoked, now) ? 1 : 0;
+        if (const std::vector<LogField> dropped = takeDroppedReport(budget, now); !dropped.empty()) {
+            reported += std::stoull(dropped[0].value_);
         }
     }
     EXPECT_THAT(refused, AllOf(Ge(200U), Le(251U)));
     EXPECT_EQ(causes, 10U);
-    const std::vector<LogField> rest = takeDropped(budget, start + std::chrono::seconds(2));
+    const std::vector<LogField> rest = takeDroppedReport(budget, start + std::chrono::seconds(2));
     ASSERT_EQ(rest.size(), 2U);
-    EXPECT_EQ(told + std::stoull(rest[0].value_) + refused, 5000U);
+    EXPECT_EQ(reported + std::stoull(rest[0].value_) + refused, 5000U);
     EXPECT_THAT(rest[1].value_, StartsWith("505:"));
-    EXPECT_TRUE(takeDropped(budget, start + std::chrono::seconds(9)).empty());
+    EXPECT_TRUE(takeDroppedReport(budget, start + std::chrono::seconds(9)).empty());
 }
--- a/test/error/SettingsAreReadAgain.cpp
+++ b/test/error/SettingsAreReadAgain.cpp
@@ -15,23 +15,23 @@
     return found == reload.fields_.end() ? "(none)" : found->value_;
 }
 
-std::string with(const std::string &field)
+std::string withField(const std::string &field)
 {
     return before.substr(0, before.size() - 1) + ", " + field + "}";
 }
 
 } // namespace
 
-// An operator changes the settings of a running process and tells it by SIGHUP. What can change at once does; for the rest the log says that it holds from
-// the next start, so that nobody takes it for done. A file with mistakes changes nothing, and the log names the first one.
+// An operator edits the settings of a running process and sends SIGHUP. The log level takes effect at once. The log lists the other changed settings as taking
+// effect at the next start, so that they are not assumed to be active. A file with errors changes nothing, and the log states the first error.
 TEST(SettingsAreReadAgain, whatChangesAtOnceAndWhatLater)
 {
-    const Settings inForce = *checkSettings(before).settings_;
-    const SettingsReload level = reloadSettings(inForce, with(R"("log_level": "debug")"));
+    const Settings current = *checkSettings(before).settings_;
+    const SettingsReload level = reloadSettings(current, withField(R"("log_level": "debug")"));
     EXPECT_TRUE(level.logLevelChanged_);
     EXPECT_EQ(valueOf(level, "applied"), "log_level");
     EXPECT_EQ(valueOf(level, "at_next_start"), "");
-    const SettingsReload address = reloadSettings(inForce, with(R"("metrics_address": "127.0.0.1:9", "seeds": ["127.0.0.1:7"])"));
+    const SettingsReload address = reloadSettings(current, withField(R"("metrics_address": "127.0.0.1:9", "seeds": ["127.0.0.1:7"])"));
     EXPECT_FALSE(address.logLevelChanged_);
     EXPECT_EQ(valueOf(address, "applied"), "-");
     EXPECT_EQ(valueOf(address, "at_next_start"), "metrics_address,seeds");
@@ -39,9 +39,9 @@
 
 TEST(SettingsAreReadAgain, mistakesChangeNothing)
 {
-    const Settings inForce = *checkSettings(before).settings_;
-    for (const std::string &text : {std::string(), std::string("{"), with(R"("log_level": "loud")"), with(R"("no_such_field": 1)")}) {
-        const SettingsReload reload = reloadSettings(inForce, text);
+    const Settings current = *checkSettings(before).settings_;
+    for (const std::string &text : {std::string(), std::string("{"), withField(R"("log_level": "loud")"), withField(R"("no_such_field": 1)")}) {
+        const SettingsReload reload = reloadSettings(current, text);
         EXPECT_FALSE(reload.settings_.has_value()) << text;
         EXPECT_FALSE(reload.logLevelChanged_) << text;
         EXPECT_EQ(reload.number_, LogNumber::SettingsRefused) << text;
--- a/test/error/SettingsMistakesAreAllNamed.cpp
+++ b/test/error/SettingsMistakesAreAllNamed.cpp
@@ -1,5 +1,5 @@
-// A VM starts with a settings file that somebody edited by hand. A proxy that guessed at a wrong field would listen at the wrong place or
-// tell others an address that leads nowhere, so it has to refuse the file, with every mistake named at once.
+// A proxy that ignored an invalid field of its settings file would listen at a wrong address or advertise an unreachable one. It must refuse the file and
+// report all errors at once.
 
 #include "Settings.h"
 
