--- a/src/Demo.cpp
+++ b/src/Demo.cpp
@@ -18,7 +18,7 @@
 constexpr std::chrono::seconds settleTime(1);
 constexpr std::chrono::milliseconds pollInterval(2);
 
-/** Runs the steps of the schedule one after another and says what happens. */
+/** Runs the steps of the fault schedule in order and reports each one as it starts. */
 class Schedule
 {
 public:
@@ -36,13 +36,13 @@
         at(10, "a configuration is applied");
         applyConfiguration();
         at(20, "the primary of tyres-1 is lost");
-        killedUpAt_ = LoadClock::now();
+        killedWhilePlatformUpAt_ = LoadClock::now();
         const Standin::MemberIndex first = site_.killPrimary(platformUpGroup);
         at(40, "the lost member of tyres-1 returns; the platform goes down");
         site_.restart(platformUpGroup, first);
         site_.setPlatformDown(true);
         at(50, "the primary of tyres-2 is lost while the platform is down");
-        killedDownAt_ = LoadClock::now();
+        killedWhilePlatformDownAt_ = LoadClock::now();
         const Standin::MemberIndex second = site_.killPrimary(platformDownGroup);
         at(70, "the platform is back; the lost member of tyres-2 returns");
         site_.setPlatformDown(false);
@@ -50,24 +50,24 @@
         at(80, "the proxy of zone norte-c shuts down gracefully");
         proxies_.close(drainedProxy);
         site_.drain(drainedProxy);
-        say("the proxy of zone norte-c has ended");
+        report("the proxy of zone norte-c has ended");
         at(100, "the load ends");
         endedAt_ = LoadClock::now();
     }
 
-    LoadClock::time_point killedUpAt_;
-    LoadClock::time_point killedDownAt_;
+    LoadClock::time_point killedWhilePlatformUpAt_;
+    LoadClock::time_point killedWhilePlatformDownAt_;
     LoadClock::time_point endedAt_;
 
 private:
-    /** Waits until \p percent of the length has passed. */
+    /** Waits until \p percent of the length of the load has passed, then reports \p what. */
     void at(unsigned percent, const char *what)
     {
         std::this_thread::sleep_until(start_ + options_.length_ * percent / 100);
-        say(what);
+        report(what);
     }
 
-    void say(const char *what)
+    void report(const char *what)
     {
         if (options_.narration_ != nullptr) {
             const double seconds = std::chrono::duration<double>(LoadClock::now() - start_).count();
@@ -77,14 +77,14 @@
 
     void applyConfiguration()
     {
-        constexpr unsigned secondQueueLimit = 150;
-        const LoadClock::time_point begun = LoadClock::now();
-        const ApplyResult applied = site_.apply(site_.configurationText(secondQueueLimit));
+        constexpr unsigned changedQueueLimit = 150;
+        const LoadClock::time_point applyStart = LoadClock::now();
+        const ApplyResult applied = site_.apply(site_.configurationText(changedQueueLimit));
         result_.configurationAccepted_ = applied.outcome_ == ApplyOutcome::Accepted;
-        while (!site_.isInForce(applied.version_) && LoadClock::now() < begun + options_.length_ / 10) {
+        while (!site_.isActive(applied.version_) && LoadClock::now() < applyStart + options_.length_ / 10) {
             std::this_thread::sleep_for(pollInterval);
         }
-        result_.configSpread_ = std::chrono::duration_cast<std::chrono::milliseconds>(LoadClock::now() - begun);
+        result_.configSpread_ = std::chrono::duration_cast<std::chrono::milliseconds>(LoadClock::now() - applyStart);
     }
 
     DemoSite &site_;
@@ -110,12 +110,12 @@
     for (std::size_t index = 0; index < DemoSite::groupCount; ++index) {
         compareWithLog(DemoSite::group(index), site.primaryLog(index), result);
     }
-    // Not beyond the end of the load: the silence after it is no stall.
+    // Only up to the end of the load: the absence of writes after it is not a stall.
     const auto gap = [&](std::size_t group, LoadClock::time_point from) {
         return longestStall(result.records_, DemoSite::group(group), from, std::min(from + gapWindow, schedule.endedAt_));
     };
-    result.failoverGapPlatformUp_ = gap(platformUpGroup, schedule.killedUpAt_);
-    result.failoverGapPlatformDown_ = gap(platformDownGroup, schedule.killedDownAt_);
+    result.failoverGapPlatformUp_ = gap(platformUpGroup, schedule.killedWhilePlatformUpAt_);
+    result.failoverGapPlatformDown_ = gap(platformDownGroup, schedule.killedWhilePlatformDownAt_);
     result.failoverGap_ = std::max(result.failoverGapPlatformUp_, result.failoverGapPlatformDown_);
     result.cutByDrain_ = result.records_.cutByProxy_[drainedProxy];
 }
@@ -124,18 +124,18 @@
 
 void compareWithLog(const GroupId &group, const std::vector<Standin::LogEntry> &log, DemoResult &result)
 {
-    std::map<std::string, unsigned> puts;
+    std::map<std::string, unsigned> putCounts;
     for (const Standin::LogEntry &entry : log) {
         for (const Standin::Operation &operation : entry.operations_) {
-            ++puts[absl::StrCat(operation.key_, " ", operation.argument_)];
+            ++putCounts[absl::StrCat(operation.key_, " ", operation.argument_)];
         }
     }
     for (const WriteRecord &write : result.records_.writes_) {
         if (write.group_ != group) {
             continue;
         }
-        const auto found = puts.find(absl::StrCat(write.name_, " ", write.value_));
-        const unsigned times = found == puts.end() ? 0 : found->second;
+        const auto found = putCounts.find(absl::StrCat(write.name_, " ", write.value_));
+        const unsigned times = found == putCounts.end() ? 0 : found->second;
         result.lostWrites_ += write.outcome_ == Outcome::Done && times == 0 ? 1 : 0;
         result.ranThoughNotRun_ += write.outcome_ == Outcome::NotRun && times > 0 ? 1 : 0;
         result.doubledWrites_ += times > 1 ? 1 : 0;
--- a/src/Demo.h
+++ b/src/Demo.h
@@ -1,6 +1,6 @@
 /** \file
- * Defines the demonstration: a mixed load on a DemoSite while faults happen on a stated schedule, and the check of what callers were told
- * against the logs of the groups.
+ * Defines the demonstration: a mixed load on a DemoSite while faults are injected on a fixed schedule, and the comparison of the outcomes that
+ * callers received with the logs of the groups.
  */
 #pragma once
 
@@ -14,34 +14,34 @@
 
 namespace Figward {
 
-/** What a demonstration is run with. */
+/** Options of a demonstration. */
 struct DemoOptions
 {
-    std::chrono::seconds length_{20}; ///< Of the load.
+    std::chrono::seconds length_{20}; ///< Duration of the load.
     std::string logPrefix_;
-    std::ostream *narration_ = nullptr; ///< Gets a line for each step; may be null.
+    std::ostream *narration_ = nullptr; ///< Receives a line for each step of the schedule; may be null.
 };
 
-/** What a demonstration showed. Counters of the proxies play no part in it. */
+/** Results of a demonstration. They come from the callers and the logs of the groups only, not from counters of the proxies. */
 struct DemoResult
 {
     LoadRecords records_;
-    std::chrono::milliseconds failoverGap_{}; ///< The longer one of the two failovers.
+    std::chrono::milliseconds failoverGap_{}; ///< The longer of the gaps of the two failovers.
     std::chrono::milliseconds failoverGapPlatformUp_{};
     std::chrono::milliseconds failoverGapPlatformDown_{};
-    std::chrono::milliseconds configSpread_{}; ///< From the start of the apply until the last proxy worked by it.
+    std::chrono::milliseconds configSpread_{}; ///< Time from the start of the apply until the configuration was active at every proxy.
     bool configurationAccepted_ = false;
-    std::uint64_t lostWrites_ = 0; ///< Acknowledged and not in the log.
-    std::uint64_t doubledWrites_ = 0; ///< In the log twice.
-    std::uint64_t ranThoughNotRun_ = 0; ///< In the log though the caller was told that it did not run.
-    std::uint64_t cutByDrain_ = 0; ///< Requests at the draining proxy that got no answer.
+    std::uint64_t lostWrites_ = 0; ///< Acknowledged writes that are missing from the log.
+    std::uint64_t doubledWrites_ = 0; ///< Writes that are in the log more than once.
+    std::uint64_t ranThoughNotRun_ = 0; ///< Writes in the log whose caller received the outcome "not run".
+    std::uint64_t cutByDrain_ = 0; ///< Requests to the draining proxy that received no answer.
 };
 
-/** Unavailable and the like if the site cannot be started. */
+/** Runs the demonstration; returns an error, such as Unavailable, if the site cannot be started. */
 absl::StatusOr<DemoResult> runDemo(const DemoOptions &options);
-/** Whether each promise held. */
+/** Whether \p result shows no violation of the guarantees, and the configuration was accepted. */
 bool promisesKept(const DemoResult &result);
-/** Adds the writes of \p records to group \p group that \p log contradicts to \p result. */
+/** Counts in \p result those of its recorded writes to \p group whose outcome contradicts \p log. */
 void compareWithLog(const GroupId &group, const std::vector<Standin::LogEntry> &log, DemoResult &result);
 
 } // namespace Figward
--- a/src/DemoSite.cpp
+++ b/src/DemoSite.cpp
@@ -16,7 +16,7 @@
 using Standin::GroupModel;
 using Standin::MemberIndex;
 
-constexpr std::chrono::seconds startPatience(30);
+constexpr std::chrono::seconds startTimeout(30);
 constexpr std::chrono::milliseconds pollInterval(20);
 constexpr Duration listLag = std::chrono::milliseconds(500);
 constexpr std::array<const char *, DemoSite::zoneCount> zones{"norte-a", "norte-b", "norte-c"};
@@ -43,7 +43,7 @@
     return config;
 }
 
-/** The member that takes writes in the latest term; size() if there is none. */
+/** The running primary with the latest log position; size() if there is none. */
 MemberIndex primaryOf(const GroupModel &model)
 {
     MemberIndex found = model.size();
@@ -56,9 +56,9 @@
     return found;
 }
 
-bool eventually(const std::function<bool()> &condition)
+bool waitUntil(const std::function<bool()> &condition)
 {
-    const auto end = std::chrono::steady_clock::now() + startPatience;
+    const auto end = std::chrono::steady_clock::now() + startTimeout;
     while (!condition()) {
         if (std::chrono::steady_clock::now() > end) {
             return false;
@@ -103,8 +103,8 @@
             return status;
         }
     }
-    constexpr unsigned firstQueueLimit = 200;
-    if (apply(configurationText(firstQueueLimit)).outcome_ != ApplyOutcome::Accepted) {
+    constexpr unsigned initialQueueLimit = 200;
+    if (apply(configurationText(initialQueueLimit)).outcome_ != ApplyOutcome::Accepted) {
         return absl::InternalError("the first configuration was not accepted");
     }
     for (std::size_t index = 0; index < zoneCount; ++index) {
@@ -112,7 +112,7 @@
             return status;
         }
     }
-    const bool ready = eventually([this] { return std::ranges::all_of(proxies_, [this](const auto &proxy) { return answersForAllGroups(*proxy); }); });
+    const bool ready = waitUntil([this] { return std::ranges::all_of(proxies_, [this](const auto &proxy) { return answersForAllGroups(*proxy); }); });
     return ready ? absl::OkStatus() : absl::DeadlineExceededError("the proxies do not answer for all groups");
 }
 
@@ -173,14 +173,14 @@
     return runApply(caller, text, std::nullopt);
 }
 
-bool DemoSite::isInForce(ConfigVersion version)
+bool DemoSite::isActive(ConfigVersion version)
 {
     return std::ranges::all_of(proxies_, [version](const auto &proxy) {
-        ConfigVersion inForce = version;
+        ConfigVersion active = version;
         if (proxy) {
-            proxy->run([&](ProxyState &state, Time, Effects &) { inForce = state.configuration_.version_; });
+            proxy->run([&](ProxyState &state, Time, Effects &) { active = state.configuration_.version_; });
         }
-        return inForce >= version;
+        return active >= version;
     });
 }
 
@@ -202,8 +202,8 @@
     groups_[index]->run([&](GroupModel &model, Time now) {
         killed = primaryOf(model);
         if (killed < model.size()) {
-            constexpr bool hostIsLostToo = false;
-            model.kill(killed, hostIsLostToo, now);
+            constexpr bool closesLinks = false;
+            model.kill(killed, closesLinks, now);
         }
     });
     return killed;
--- a/src/DemoSite.h
+++ b/src/DemoSite.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines the site of a demonstration: stand-ins of the platform and of database groups, and proxies in three availability zones, all on loopback ports.
+ * Defines the site of a demonstration: stand-ins for the platform and for database groups, and proxies in three availability zones, all on loopback ports.
  */
 #pragma once
 
@@ -14,33 +14,33 @@
 
 namespace Figward {
 
-/** Three zones, a proxy and a member of each group in each. */
+/** A site of three zones, each with one proxy and one member of each group. */
 class DemoSite
 {
 public:
     static constexpr std::size_t zoneCount = 3;
     static constexpr std::size_t groupCount = 3;
 
-    /** Logs go to \p logPrefix plus the proxy's name plus ".log"; without a prefix warnings go to standard error. */
+    /** Each proxy logs to the file \p logPrefix plus its name plus ".log"; with an empty prefix, only errors are logged, to standard error. */
     explicit DemoSite(std::string logPrefix);
 
-    /** Starts the stand-ins, applies the configuration and starts the proxies; waits until each answers for each group. */
+    /** Starts the stand-ins, applies the configuration and starts the proxies; waits until each proxy answers for each group. */
     absl::Status start();
     /** The configuration with \p queueLimit, as an operator would write it. */
     [[nodiscard]] std::string configurationText(unsigned queueLimit) const;
-    /** Applies \p text. */
+    /** Applies the configuration \p text. */
     ApplyResult apply(const std::string &text);
-    /** Whether each proxy that was not drained works by \p version. */
-    bool isInForce(ConfigVersion version);
+    /** Whether \p version or a later one is active at every proxy that was not drained. */
+    bool isActive(ConfigVersion version);
     [[nodiscard]] std::vector<std::string> callerAddresses() const;
-    /** Shuts the proxy at \p index down gracefully and waits for its end. */
+    /** Shuts the proxy at \p index down gracefully and waits until it has exited. */
     void drain(std::size_t index);
 
-    /** Kills the primary of the group at \p index; returns the member. */
+    /** Kills the primary of the group at \p index; returns the index of that member, or the size of the group if it has no primary. */
     Standin::MemberIndex killPrimary(std::size_t index);
     void restart(std::size_t index, Standin::MemberIndex member);
     void setPlatformDown(bool down);
-    /** Log of the present primary of the group at \p index. */
+    /** Log of the current primary of the group at \p index. */
     std::vector<Standin::LogEntry> primaryLog(std::size_t index);
 
     static ServiceId service();
@@ -54,7 +54,7 @@
     std::string logPrefix_;
     Standin::PlatformStandinServer platform_;
     std::vector<std::unique_ptr<Standin::GroupStandinServer>> groups_;
-    std::vector<std::unique_ptr<ProxyProcess>> proxies_; ///< Null when drained.
+    std::vector<std::unique_ptr<ProxyProcess>> proxies_; ///< Null once drained.
     std::vector<std::string> callerAddresses_;
 };
 
--- a/src/GroupLog.cpp
+++ b/src/GroupLog.cpp
@@ -75,7 +75,7 @@
 LogPoint GroupLog::append(LogEntry entry, Time now)
 {
     entry.point_.position_ = Position(entries_.size() + 1);
-    take(entry);
+    updateTables(entry);
     appendedAt_.push_back(now);
     entries_.push_back(std::move(entry));
     return entries_.back().point_;
@@ -111,8 +111,8 @@
 
 std::vector<LogPoint> GroupLog::termStarts() const
 {
-    const std::size_t skipped = starts_.size() - std::min(starts_.size(), reportedTerms);
-    return {starts_.begin() + static_cast<std::ptrdiff_t>(skipped), starts_.end()};
+    const std::size_t skipped = termStarts_.size() - std::min(termStarts_.size(), reportedTerms);
+    return {termStarts_.begin() + static_cast<std::ptrdiff_t>(skipped), termStarts_.end()};
 }
 
 const Values &GroupLog::values() const
@@ -123,8 +123,8 @@
 KeyState GroupLog::stateOf(const IdempotencyKey &key) const
 {
     const auto acknowledged = acknowledgedBelow_.find(key.session_);
-    const bool forgotten = acknowledged != acknowledgedBelow_.end() && key.sequence_ < acknowledged->second;
-    if (forgotten || key.session_.startedSeconds_ < sessionsBefore_) {
+    const bool trimmed = acknowledged != acknowledgedBelow_.end() && key.sequence_ < acknowledged->second;
+    if (trimmed || key.session_.startedSeconds_ < sessionsBefore_) {
         return KeyState::Trimmed;
     }
     const auto found = keys_.find(key);
@@ -139,10 +139,10 @@
     return entries_.at(keys_.at(key));
 }
 
-void GroupLog::take(const LogEntry &entry)
+void GroupLog::updateTables(const LogEntry &entry)
 {
-    if (starts_.empty() || starts_.back().term_ != entry.point_.term_) {
-        starts_.push_back(entry.point_);
+    if (termStarts_.empty() || termStarts_.back().term_ != entry.point_.term_) {
+        termStarts_.push_back(entry.point_);
     }
     for (const Operation &operation : entry.operations_) {
         apply(values_, operation);
--- a/src/GroupModel.cpp
+++ b/src/GroupModel.cpp
@@ -30,14 +30,14 @@
 
 void GroupModel::connect(MemberIndex member, ReplyTag tag, Time now)
 {
-    take(member, PendingConnect{tag}, now);
+    receive(member, PendingConnect{tag}, now);
 }
 
 void GroupModel::send(LinkId link, const UpstreamStatement &statement, Time now)
 {
     const auto found = links_.find(link);
     if (found != links_.end()) {
-        take(found->second.member_, PendingStatement{link, statement}, now);
+        receive(found->second.member_, PendingStatement{link, statement}, now);
     }
 }
 
@@ -57,7 +57,7 @@
 
 void GroupModel::control(MemberIndex member, ReplyTag tag, const ControlCall &call, Time now)
 {
-    take(member, PendingControl{tag, call}, now);
+    receive(member, PendingControl{tag, call}, now);
 }
 
 std::vector<GroupReply> GroupModel::takeReplies()
@@ -169,7 +169,7 @@
     return static_cast<MemberIndex>(std::ranges::find(config_.members_, id) - config_.members_.begin());
 }
 
-void GroupModel::take(MemberIndex index, Pending pending, Time now)
+void GroupModel::receive(MemberIndex index, Pending pending, Time now)
 {
     advance(now);
     Member &member = members_.at(index);
@@ -231,14 +231,14 @@
     }
 }
 
-void GroupModel::dropLinks(MemberIndex index, bool tell, Time now)
+void GroupModel::dropLinks(MemberIndex index, bool notifyClients, Time now)
 {
     for (auto link = links_.begin(); link != links_.end();) {
         if (link->second.member_ != index) {
             ++link;
             continue;
         }
-        if (tell) {
+        if (notifyClients) {
             reply(now + closeTime, LinkClosed{link->first});
         }
         link = links_.erase(link);
--- a/src/GroupModel.h
+++ b/src/GroupModel.h
@@ -1,8 +1,9 @@
 /** \file
  * Defines a model of one database group that obeys Upstream.h: members that replicate from one primary, with their faults.
  *
- * It is a plain state machine: every call names the present time, nothing happens between calls, and equal calls give equal runs. What a
- * call brings about is queued as replies, each with the time at which it is ready; the caller collects them by takeReplies() and carries them.
+ * The model is a deterministic state machine: every call passes the current time, nothing happens between calls, and equal calls give equal
+ * runs. The results of a call are queued as replies, each with the time at which it is ready; the user of the model collects them with
+ * takeReplies() and delivers them.
  */
 #pragma once
 
@@ -18,12 +19,12 @@
 
 /** Index of a member within its group. */
 using MemberIndex = std::size_t;
-/** A connection as the group numbers it; unique among all clients. */
+/** Number that the group gives to a connection; unique among all clients. */
 using LinkId = StrongValue<struct LinkIdTag, std::uint64_t>;
-/** The caller's own number for a connect or a control call; returned with its reply. */
+/** Number that the user of the model chooses for a connect or a control call; returned with its reply. */
 using ReplyTag = StrongValue<struct ReplyTagTag, std::uint64_t>;
 
-/** What a group can do. */
+/** Members, limits and timing of a group. */
 struct GroupModelConfig
 {
     std::vector<MemberId> members_; ///< The first is primary of term 1 at the start.
@@ -31,11 +32,11 @@
     SlotCount slots_{5};
     Duration connectTime_ = std::chrono::milliseconds(10);
     Duration statementTime_ = std::chrono::microseconds(500);
-    Duration statementJitter_{}; ///< Up to this is added to each statement's time.
-    Duration replicationDelay_ = std::chrono::milliseconds(5); ///< Of each link between members, until changed.
+    Duration statementJitter_{}; ///< Upper limit of the random time that is added to each statement's time.
+    Duration replicationDelay_ = std::chrono::milliseconds(5); ///< Initial delay of each link between members; see setDelay().
 };
 
-/** A connect ended. */
+/** A connection attempt was completed or refused. */
 struct ConnectReply
 {
     ReplyTag tag_;
@@ -60,7 +61,7 @@
     LinkId link_;
 };
 
-/** What comes out of the group, not before at_. */
+/** A reply of the group, to be delivered no earlier than at_. */
 struct GroupReply
 {
     using Body = std::variant<ConnectReply, StatementReply, ControlReply, LinkClosed>;
@@ -69,38 +70,39 @@
 };
 
 /**
- * The group. GroupModel.cpp has its clock, connections and faults; GroupModelStatements.cpp and GroupModelControl.cpp what members do.
+ * A database group. GroupModel.cpp implements time, connections and faults; GroupModelStatements.cpp and GroupModelControl.cpp implement how members
+ * run statements and control calls.
  */
 class GroupModel
 {
 public:
     GroupModel(GroupModelConfig config, std::uint64_t seed, Time now);
 
-    /** Asks \p member for a connection. No reply while it is dead; after its pause if it is paused. */
+    /** Requests a connection to \p member. A dead member does not reply; a paused one replies after resume(). */
     void connect(MemberIndex member, ReplyTag tag, Time now);
-    /** Sends a statement. No reply if the connection is gone. */
+    /** Sends a statement. There is no reply if the connection is closed. */
     void send(LinkId link, const UpstreamStatement &statement, Time now);
-    /** The client closes a connection; its open transaction is rolled back. Statements that a paused member has received still run. */
+    /** Closes a connection on behalf of its client; its open transaction is rolled back. Statements that a paused member has received still run. */
     void close(LinkId link, Time now);
     /** Makes a control call. */
     void control(MemberIndex member, ReplyTag tag, const ControlCall &call, Time now);
-    /** All replies since the last call, in the order in which they came about. */
+    /** Returns and removes all replies queued since the last call, in the order in which they were queued. */
     std::vector<GroupReply> takeReplies();
 
-    /** Ends a member; its log stays. Clients hear of it only if \p closesLinks (the process died, its host did not). */
+    /** Kills a member; its log is kept. Clients see their connections close only if \p closesLinks (the process died, but its host did not). */
     void kill(MemberIndex member, bool closesLinks, Time now);
-    /** Starts a dead member, or one that runs, anew: connections and transactions are gone. */
+    /** Restarts a member, dead or running: its connections and transactions are lost. */
     void restart(MemberIndex member, Time now);
-    /** From now on the member receives and does nothing. */
+    /** Pauses a member: from now on it receives requests without processing them. */
     void pause(MemberIndex member, Time now);
-    /** The member runs what it has received since pause(), in order. */
+    /** Ends a pause: the member processes the requests that it has received since pause(), in order. */
     void resume(MemberIndex member, Time now);
-    /** Cuts or heals replication between two members, both ways. */
+    /** Cuts or restores replication between two members, in both directions. */
     void setCut(MemberIndex a, MemberIndex b, bool cut, Time now);
     /** Sets the delay of replication from \p from to \p to. */
     void setDelay(MemberIndex from, MemberIndex to, Duration delay, Time now);
 
-    /** Lets replication go on until \p now. Implied by every other call. */
+    /** Advances replication to \p now. Implied by every other call that passes the time. */
     void advance(Time now);
     [[nodiscard]] const GroupLog &log(MemberIndex member) const;
     [[nodiscard]] MemberStatus status(MemberIndex member) const;
@@ -138,7 +140,7 @@
         bool alive_ = true;
         bool paused_ = false;
         std::optional<MemberIndex> follows_;
-        bool mustCut_ = false; ///< Its log may have a tail that its primary lacks; it serves nothing before it has compared.
+        bool logCheckPending_ = false; ///< The log may end in entries that its primary lacks; the member serves nothing until it has compared them.
         std::vector<Pending> pending_; ///< Received during a pause.
     };
     struct Transaction
@@ -149,10 +151,10 @@
     {
         MemberIndex member_ = 0;
         std::optional<Transaction> transaction_;
-        bool closing_ = false; ///< Closed by the client while the member is paused and has statements of it.
+        bool closing_ = false; ///< Closed by the client while the member is paused and has unprocessed statements of this connection.
     };
 
-    void take(MemberIndex member, Pending pending, Time now);
+    void receive(MemberIndex member, Pending pending, Time now);
     void run(MemberIndex member, const PendingConnect &pending, Time now);
     void run(MemberIndex member, const PendingStatement &pending, Time now);
     void run(MemberIndex member, const PendingControl &pending, Time now);
@@ -170,7 +172,7 @@
     void replicate(MemberIndex index, Time now);
     void reply(Time at, GroupReply::Body body);
     void rollBackAll(MemberIndex index);
-    void dropLinks(MemberIndex index, bool tell, Time now);
+    void dropLinks(MemberIndex index, bool notifyClients, Time now);
     [[nodiscard]] bool slotsLeft(Time now);
     Duration statementTime();
 
--- a/src/GroupModelControl.cpp
+++ b/src/GroupModelControl.cpp
@@ -61,7 +61,7 @@
     if (!member.primary_) {
         member.primary_ = true;
         member.follows_.reset();
-        member.mustCut_ = false;
+        member.logCheckPending_ = false;
         member.log_.append({.point_ = {term, {}}}, now);
     }
     return ControlResult::Ok;
@@ -81,13 +81,13 @@
     member.fenced_ = call.term_;
     member.primary_ = false;
     member.follows_ = primary;
-    member.mustCut_ = true;
+    member.logCheckPending_ = true;
     rollBackAll(index);
     replicate(index, now);
     return ControlResult::Ok;
 }
 
-/** Copies what the primary's log had one delay ago; while it cannot be reached, nothing. */
+/** Copies the entries that the primary's log had one replication delay ago; copies nothing while the primary is unreachable. */
 void GroupModel::replicate(MemberIndex index, Time now)
 {
     Member &member = members_[index];
@@ -98,9 +98,9 @@
     if (!primary.primary_ || primary.fenced_ != member.fenced_) {
         return;
     }
-    if (member.mustCut_) {
+    if (member.logCheckPending_) {
         member.log_.truncate(commonLength(member.log_, primary.log_));
-        member.mustCut_ = false;
+        member.logCheckPending_ = false;
     }
     const Duration delay = delays_.at({*member.follows_, index});
     while (member.log_.entries().size() < primary.log_.entries().size()) {
--- a/src/GroupModelStatements.cpp
+++ b/src/GroupModelStatements.cpp
@@ -19,7 +19,7 @@
     const Member &member = members_[link.member_];
     const bool anyRole = statement.requiredTerm_ == Term(0);
     const bool rightTerm = member.primary_ && member.log_.end().term_ == statement.requiredTerm_;
-    const bool servesRead = anyRole && statement.kind_ == RequestKind::Read && !member.mustCut_;
+    const bool servesRead = anyRole && statement.kind_ == RequestKind::Read && !member.logCheckPending_;
     UpstreamAnswer answer;
     if (!slotsLeft(now)) {
         answer.result_ = UpstreamResult::Busy;
@@ -72,7 +72,7 @@
     if (!operation || operation->kind_ != OperationKind::Get) {
         return answerOf(UpstreamResult::Rejected, "not a read");
     }
-    // A transaction sees its own writes on top of what is committed.
+    // A transaction sees its own uncommitted writes on top of the committed values.
     Values values = members_[link.member_].log_.values();
     if (link.transaction_) {
         for (const Operation &step : link.transaction_->operations_) {
--- a/src/GroupStandinServer.cpp
+++ b/src/GroupStandinServer.cpp
@@ -19,7 +19,7 @@
 
     void OnReadDone(bool ok) override
     {
-        if (ok && takeIn()) {
+        if (ok && processIncoming()) {
             StartRead(&incoming_);
             return;
         }
@@ -52,7 +52,7 @@
         finishIfIdle();
     }
 
-    /** Ends the stream after the answers that wait. */
+    /** Ends the stream once the queued answers are written. */
     void finish(const grpc::Status &status)
     {
         const std::scoped_lock lock(mutex_);
@@ -64,15 +64,15 @@
 
     void OnDone() override
     {
-        server_.clock_.post([this] { delete this; }); // After the tasks that were posted for it.
+        server_.clock_.post([this] { delete this; }); // Runs after the tasks that were posted for this connection.
     }
 
-    std::optional<ReplyTag> connecting_; ///< Used by the clock's thread, as is the next.
+    std::optional<ReplyTag> connecting_; ///< Used by the clock's thread only, like link_.
     std::optional<LinkId> link_;
 
 private:
-    /** False if the message breaks the protocol. */
-    bool takeIn()
+    /** Processes the received message; returns false if it violates the protocol. */
+    bool processIncoming()
     {
         if (incoming_.has_open() != !opened_) {
             return false;
@@ -100,7 +100,7 @@
     GroupStandinServer &server_;
     v1::ConnectionRequest incoming_;
     bool opened_ = false; ///< Used by the read callbacks only.
-    std::mutex mutex_; ///< Guards what follows.
+    std::mutex mutex_; ///< Guards the members declared after it.
     WriteQueue<v1::ConnectionAnswer> outgoing_;
     std::optional<grpc::Status> ending_;
     bool broken_ = false;
@@ -229,7 +229,7 @@
     const auto found = connecting_.find(reply.tag_);
     if (found == connecting_.end()) {
         if (!reply.refused_) {
-            model_.close(reply.link_, StandinClock::now()); // The client left before it was connected.
+            model_.close(reply.link_, StandinClock::now()); // The client disconnected before the connection was established.
         }
         return;
     }
--- a/src/GroupStandinServer.h
+++ b/src/GroupStandinServer.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines a server that lets a model of a database group be used over gRPC, in real time.
+ * Defines a gRPC server that runs the model of a database group in real time.
  */
 #pragma once
 
@@ -14,11 +14,11 @@
 
 namespace Figward::Standin {
 
-/** Serves all members of one group at one address. */
+/** Serves all members of one group, at one address or at an address for each member. */
 class GroupStandinServer : public v1::Upstream::CallbackService
 {
 public:
-    /** A step on the model, such as a fault that is brought about. */
+    /** An operation on the model, such as the injection of a fault. */
     using Step = std::function<void(GroupModel &, Time)>;
 
     GroupStandinServer(GroupModelConfig config, std::uint64_t seed);
@@ -26,13 +26,13 @@
     GroupStandinServer &operator=(const GroupStandinServer &) = delete;
     ~GroupStandinServer() override;
 
-    /** Unavailable if \p address cannot be bound. */
+    /** Starts the server; returns Unavailable if \p address cannot be bound. */
     absl::Status start(const std::string &address);
-    /** The same at an address for each member. Each serves all members: a connection names the one it wants. */
+    /** Starts the server at one address for each member. Each address serves all members, because a connection names its member. */
     absl::Status start(const std::vector<std::string> &addresses);
     [[nodiscard]] const std::string &address() const;
     [[nodiscard]] const std::vector<std::string> &addresses() const;
-    /** Runs \p step between calls. */
+    /** Runs \p step on the clock's thread, between calls. */
     void run(const Step &step);
 
     grpc::ServerBidiReactor<v1::ConnectionRequest, v1::ConnectionAnswer> *Connect(grpc::CallbackServerContext *context) override;
@@ -46,7 +46,7 @@
         v1::ControlReply *reply_;
     };
 
-    /** The following run on the clock's thread. */
+    /** This and the following functions run on the clock's thread. */
     void connect(Connection *connection, const MemberId &member);
     void send(const Connection *connection, const UpstreamStatement &statement);
     void disconnect(Connection *connection);
@@ -62,7 +62,7 @@
     std::map<ReplyTag, Connection *> connecting_;
     std::map<LinkId, Connection *> links_;
     std::map<ReplyTag, WaitingControl> controls_;
-    StandinClock clock_; // Its thread uses all of the above, and is the first to end.
+    StandinClock clock_; // Declared after the members that its thread uses, so that the thread ends before they are destroyed.
     ListeningServer server_;
 };
 
--- a/src/LineGroupModel.cpp
+++ b/src/LineGroupModel.cpp
@@ -56,7 +56,7 @@
         members_[id].id_ = id;
     }
     members_.at(members.front()).primary_ = true;
-    members_.at(members.front()).sends_ = true;
+    members_.at(members.front()).sendsLog_ = true;
 }
 
 LineMember &LineGroupModel::member(const MemberId &id)
@@ -138,10 +138,10 @@
         return reply;
     }
     case MemberVerb::Forward:
-        return work(session, member, request, request.text_.starts_with("WRITE"), now);
+        return runQuery(session, member, request, request.text_.starts_with("WRITE"), now);
     case MemberVerb::Execute: {
         const auto prepared = session.prepared_.find(request.name_);
-        return prepared == session.prepared_.end() ? failure(ReplyCode::NoStatement) : work(session, member, request, prepared->second, now);
+        return prepared == session.prepared_.end() ? failure(ReplyCode::NoStatement) : runQuery(session, member, request, prepared->second, now);
     }
     case MemberVerb::Commit:
         return commit(session, member, request, now);
@@ -173,7 +173,7 @@
     return request.after_ && !holds(member.log_, *request.after_) ? failure(ReplyCode::Lagging) : SessionReply{};
 }
 
-SessionReply LineGroupModel::work(LineSession &session, LineMember &member, const MemberRequest &request, bool writes, Time now)
+SessionReply LineGroupModel::runQuery(LineSession &session, LineMember &member, const MemberRequest &request, bool writes, Time now)
 {
     if (session.failed_) {
         return failure(ReplyCode::Malformed);
@@ -224,7 +224,7 @@
 {
     const LineMember *sender = nullptr;
     for (const auto &[id, member] : members_) {
-        if (member.sends_ && (sender == nullptr || sender->term_ < member.term_)) {
+        if (member.sendsLog_ && (sender == nullptr || sender->term_ < member.term_)) {
             sender = &member;
         }
     }
@@ -237,7 +237,7 @@
             continue;
         }
         member.term_ = source.term_;
-        while (member.log_.size() < source.log_.size() && source.log_[member.log_.size()].made_ + member.lag_ <= now) {
+        while (member.log_.size() < source.log_.size() && source.log_[member.log_.size()].committedAt_ + member.lag_ <= now) {
             member.log_.push_back(source.log_[member.log_.size()]);
         }
     }
@@ -258,11 +258,11 @@
         highest = std::max(highest, member.term_);
     }
     target.primary_ = true;
-    target.sends_ = true;
+    target.sendsLog_ = true;
     target.term_ = Term(highest.value() + 1);
     for (auto &[other, member] : members_) {
         if (!member.primary_) {
-            member.sends_ = false;
+            member.sendsLog_ = false;
             member.log_.resize(std::min(member.log_.size(), target.log_.size()), LineCommit{});
             const auto differ = std::ranges::mismatch(member.log_, target.log_, {}, &LineCommit::point_, &LineCommit::point_);
             member.log_.erase(differ.in1, member.log_.end());
@@ -291,7 +291,7 @@
         return;
     }
     old.primary_ = false;
-    old.sends_ = false;
+    old.sendsLog_ = false;
     old.term_ = present.term_;
     const auto differ = std::ranges::mismatch(old.log_, present.log_, {}, &LineCommit::point_, &LineCommit::point_);
     old.log_.erase(differ.in1, old.log_.end());
--- a/src/LoadPlan.h
+++ b/src/LoadPlan.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines what a generated load consists of: sessions that move between proxies, and the mix of their statements.
+ * Defines the parameters of a generated load: sessions that move between proxies, and the mix of their statements.
  */
 #pragma once
 
@@ -14,31 +14,31 @@
 
 namespace Figward {
 
-/** A load. Percentages are of all statements; what is left are reads that accept no age. */
+/** Parameters of a load. Percentages are of all statements; the statements that are neither writes nor stale reads are reads of current data. */
 struct LoadPlan
 {
     ServiceId service_;
     std::vector<GroupId> groups_;
-    std::vector<ClassId> classes_; ///< One of them is drawn for each statement; empty: none is named.
-    unsigned sessions_ = 24; ///< Each runs one statement at a time.
-    unsigned statementsPerSecond_ = 1000; ///< Of all sessions together.
+    std::vector<ClassId> classes_; ///< Each statement names one of them at random; if empty, statements name no class.
+    unsigned sessions_ = 24; ///< Number of sessions; each runs one statement at a time.
+    unsigned statementsPerSecond_ = 1000; ///< Total rate of all sessions.
     unsigned writePercent_ = 30;
-    unsigned stalePercent_ = 40; ///< Reads that accept data of the age below.
+    unsigned stalePercent_ = 40; ///< Reads that accept data as old as maxStaleness_.
     Duration maxStaleness_ = std::chrono::seconds(1);
-    unsigned hopPercent_ = 20; ///< Statements before which the session moves to another proxy.
+    unsigned hopPercent_ = 20; ///< Statements before which the session picks a new proxy.
     Duration timeout_ = std::chrono::seconds(2);
     std::uint64_t seed_ = 1;
 };
 
-/** The proxies that sessions may ask, as a balancer would know them. */
+/** The proxies that sessions may send requests to, as a load balancer would list them. */
 class ProxyDirectory
 {
 public:
     explicit ProxyDirectory(const std::vector<std::string> &addresses);
     [[nodiscard]] CallerClient &client(std::size_t proxy);
-    /** One of the proxies that are not closed. */
+    /** Picks one of the proxies that are not closed. */
     [[nodiscard]] std::size_t pick(std::mt19937_64 &random) const;
-    /** Sessions are sent elsewhere from now on; requests that are under way go on. */
+    /** Removes a proxy from the choice of sessions; requests in flight continue. */
     void close(std::size_t proxy);
     [[nodiscard]] bool isOpen(std::size_t proxy) const;
     [[nodiscard]] std::size_t size() const;
--- a/src/LoadSession.cpp
+++ b/src/LoadSession.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-constexpr unsigned settleTries = 100;
-constexpr std::chrono::milliseconds settlePause(50);
-constexpr std::chrono::milliseconds refusalPause(20); ///< When the answer names no time to come back.
-constexpr Duration longestPause = std::chrono::milliseconds(500);
+constexpr unsigned resolveAttempts = 100;
+constexpr std::chrono::milliseconds resolveInterval(50);
+constexpr std::chrono::milliseconds defaultRetryDelay(20); ///< Used if the answer gives no retry delay.
+constexpr Duration maxRetryDelay = std::chrono::milliseconds(500);
 
 std::uint32_t microsSince(LoadClock::time_point start)
 {
@@ -37,7 +37,7 @@
     , number_(number)
     , random_(plan.seed_ * 1'000'003 + number)
 {
-    begin();
+    startSession();
 }
 
 const LoadRecords &LoadSession::records() const
@@ -45,7 +45,7 @@
     return records_;
 }
 
-void LoadSession::begin()
+void LoadSession::startSession()
 {
     ++incarnation_;
     const auto now = std::chrono::duration_cast<std::chrono::seconds>(std::chrono::system_clock::now().time_since_epoch());
@@ -61,8 +61,8 @@
 {
     const std::int64_t sessions = plan_.sessions_;
     const LoadClock::duration interval = LoadClock::duration(std::chrono::seconds(1)) * sessions / std::max(1U, plan_.statementsPerSecond_);
-    const auto firstPart = static_cast<std::int64_t>(random_() % 100); // Percent of an interval; sessions do not all begin at once.
-    LoadClock::time_point next = LoadClock::now() + interval * firstPart / 100;
+    const auto firstPercent = static_cast<std::int64_t>(random_() % 100); // Percentage of an interval, so that sessions do not all start at once.
+    LoadClock::time_point next = LoadClock::now() + interval * firstPercent / 100;
     while (!stopping) {
         std::this_thread::sleep_until(next);
         runStatement();
@@ -101,7 +101,7 @@
     const auto start = LoadClock::now();
     const ClientResult result = ask(request);
     if (!isDone(result)) {
-        pauseAfter(result);
+        waitBeforeNextRequest(result);
         return;
     }
     records_.readMicros_.push_back(microsSince(start));
@@ -120,23 +120,23 @@
     if (outcome == Outcome::Done) {
         records_.writeMicros_.push_back(microsSince(start));
     } else if (outcome == Outcome::Unknown) {
-        outcome = settle(request);
+        outcome = resolveOutcome(request);
     } else {
-        pauseAfter(result);
+        waitBeforeNextRequest(result);
     }
     records_.writes_.push_back({group, name_, value, outcome, LoadClock::now()});
     if (outcome == Outcome::Done) {
         acknowledged_[group] = value;
     } else if (outcome == Outcome::Unknown) {
-        begin(); // A late effect of the old write would otherwise look like a stale read.
+        startSession(); // In the same session, a late effect of this write would look like a stale read.
     }
 }
 
-Outcome LoadSession::settle(Request request)
+Outcome LoadSession::resolveOutcome(Request request)
 {
     request.repeated_ = true;
-    for (unsigned i = 0; i < settleTries; ++i) {
-        std::this_thread::sleep_for(settlePause);
+    for (unsigned i = 0; i < resolveAttempts; ++i) {
+        std::this_thread::sleep_for(resolveInterval);
         proxy_ = proxies_.pick(random_);
         const ClientResult result = ask(request);
         if (result.ok() && result->outcome_ != Outcome::Unknown) {
@@ -171,10 +171,10 @@
     }
 }
 
-void LoadSession::pauseAfter(const ClientResult &result)
+void LoadSession::waitBeforeNextRequest(const ClientResult &result)
 {
-    const Duration asked = result.ok() ? result->retryAfter_.value_or(refusalPause) : Duration(refusalPause);
-    std::this_thread::sleep_for(std::min(asked, longestPause));
+    const Duration asked = result.ok() ? result->retryAfter_.value_or(defaultRetryDelay) : Duration(defaultRetryDelay);
+    std::this_thread::sleep_for(std::min(asked, maxRetryDelay));
     if (!result.ok() || result->error_ == ErrorKind::Draining) {
         proxy_ = proxies_.pick(random_);
     }
--- a/src/LoadSession.h
+++ b/src/LoadSession.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines one caller of a generated load, and how many of them are run together.
+ * Defines one caller of a generated load, and a function that runs many of them concurrently.
  */
 #pragma once
 
@@ -11,26 +11,27 @@
 
 namespace Figward {
 
-/** One caller at a time: writes growing numbers under its own name in each group, and checks that it reads what it wrote. */
+/** A caller that writes increasing numbers under its own key in each group, and checks that its reads show its acknowledged writes. */
 class LoadSession
 {
 public:
-    /** \p number tells the sessions of one load apart. */
+    /** \p number is unique among the sessions of one load. */
     LoadSession(const LoadPlan &plan, ProxyDirectory &proxies, std::uint64_t number);
-    /** Runs statements at the session's part of the rate until \p stopping is set. */
+    /** Runs statements at the session's share of the rate until \p stopping is set. */
     void run(const std::atomic<bool> &stopping);
     [[nodiscard]] const LoadRecords &records() const;
 
 private:
-    void begin();
+    /** Starts a new session of the protocol, under a new key and at a random proxy. */
+    void startSession();
     void runStatement();
     void read(const GroupId &group, bool acceptsAge);
     void write(const GroupId &group);
     ClientResult ask(const Request &request);
-    /** Asks again with the same key, through any proxy, until the fate of the write is known or patience ends. */
-    Outcome settle(Request request);
+    /** Repeats a write with the same idempotency key, through random proxies, until its outcome is known or the attempts are used up. */
+    Outcome resolveOutcome(Request request);
     void count(const ClientResult &result, std::size_t proxy);
-    void pauseAfter(const ClientResult &result);
+    void waitBeforeNextRequest(const ClientResult &result);
     Request prepare(Request request);
 
     const LoadPlan &plan_;
@@ -41,8 +42,8 @@
     std::uint64_t incarnation_ = 0;
     std::optional<CallerSession> session_;
     std::string name_;
-    std::map<GroupId, std::uint64_t> written_; ///< Last value that was put, whatever became of it.
-    std::map<GroupId, std::uint64_t> acknowledged_; ///< Last value whose write was done.
+    std::map<GroupId, std::uint64_t> written_; ///< Last value that was sent, whatever its outcome.
+    std::map<GroupId, std::uint64_t> acknowledged_; ///< Last value whose write was acknowledged.
     LoadRecords records_;
 };
 
--- a/src/PlatformModel.cpp
+++ b/src/PlatformModel.cpp
@@ -63,7 +63,7 @@
 
 void PlatformModel::setVms(std::vector<VmInfo> vms, Time now)
 {
-    // The first list shows at once: the fleet was there before this run began.
+    // The first list is visible at once: it stands for VMs that existed before this run began.
     const Time from = lists_.empty() ? now : now + config_.listLag_;
     lists_.push_back({from, std::move(vms)});
 }
@@ -164,7 +164,7 @@
     std::erase_if(watches_, concerns);
 }
 
-/** Queues \p answer; one that is lost or too late shows as Lost when the call's timeout ends. */
+/** Queues \p answer; if it is lost or too late, queues Lost for the time when the call's timeout ends. */
 void PlatformModel::reply(PlatformTag tag, PlatformAnswer answer, Time asked, Duration timeout)
 {
     const Duration took = config_.answerTime_ + faults_.slowness_;
--- a/src/PlatformModel.h
+++ b/src/PlatformModel.h
@@ -1,7 +1,7 @@
 /** \file
- * Defines a model of the platform's object API that obeys Platform.h, with its faults: outages, slowness, answers lost after the effect.
+ * Defines a model of the platform's object API that obeys Platform.h, with its faults: outages, slowness, answers lost after their call took effect.
  *
- * A plain state machine like GroupModel: every call names the present time, and replies are collected by takeReplies().
+ * The model is a deterministic state machine like GroupModel: every call passes the current time, and replies are collected with takeReplies().
  */
 #pragma once
 
@@ -13,26 +13,26 @@
 
 namespace Figward::Standin {
 
-/** The caller's own number for a call; returned with its reply. */
+/** Number that the user of the model chooses for a call; returned with its reply. */
 using PlatformTag = StrongValue<struct PlatformTagTag, std::uint64_t>;
 
-/** What the platform can do, and what goes wrong with it. */
+/** Timing of the platform in the absence of faults. */
 struct PlatformModelConfig
 {
     Duration answerTime_ = std::chrono::milliseconds(2);
-    Duration listLag_ = std::chrono::seconds(2); ///< How long a change of VMs takes to show in the list.
+    Duration listLag_ = std::chrono::seconds(2); ///< Time until a change of VMs becomes visible in the list.
 };
 
-/** What goes wrong at present. Chances are in percent. */
+/** Faults that are currently injected. Probabilities are in percent. */
 struct PlatformFaults
 {
-    bool down_ = false; ///< Calls do not reach it.
-    bool silent_ = false; ///< While down, callers learn it by their own timeout (Lost) and not at once (Unavailable).
-    Duration slowness_{}; ///< Added to the time of each answer. A call that takes longer than its timeout is Lost, with its effect.
-    unsigned lossPercent_ = 0; ///< Answers lost after the effect.
+    bool down_ = false; ///< Calls do not reach the platform.
+    bool silent_ = false; ///< While the platform is down, calls end by their own timeout (Lost) instead of failing at once (Unavailable).
+    Duration slowness_{}; ///< Added to the time of each answer. A call that takes longer than its timeout is Lost, but takes effect.
+    unsigned lossPercent_ = 0; ///< Probability that an answer is lost after its call took effect.
 };
 
-/** Calls taken, by kind. A waiting watch counts as one. */
+/** Number of calls received, by kind. A pending watch counts as one call. */
 struct PlatformCounts
 {
     std::uint64_t gets_ = 0;
@@ -48,7 +48,7 @@
     std::string value_;
 };
 
-/** The answer to the call of tag_, not before at_. */
+/** The answer to the call with tag_, to be delivered no earlier than at_. */
 struct PlatformReply
 {
     Time at_;
@@ -62,14 +62,14 @@
 public:
     PlatformModel(PlatformModelConfig config, std::uint64_t seed);
 
-    /** Takes a call; it is always replied to, at the latest when its timeout ends. */
+    /** Starts a call; its reply comes at the latest when its timeout ends. */
     void call(PlatformTag tag, const PlatformCall &call, Time now);
-    /** Replies that have come about since the last call; watches whose time has ended by \p now are among them. */
+    /** Returns and removes the replies queued since the last call, including those to watches that have timed out by \p now. */
     std::vector<PlatformReply> takeReplies(Time now);
-    /** When the first waiting watch ends. */
+    /** Time at which the first pending watch times out; nullopt if there is none. */
     [[nodiscard]] std::optional<Time> nextTimeout() const;
 
-    /** Changes the list of VMs: it shows after the lag. */
+    /** Changes the list of VMs; the change becomes visible after listLag_. */
     void setVms(std::vector<VmInfo> vms, Time now);
     void setFaults(PlatformFaults faults);
     [[nodiscard]] const PlatformFaults &faults() const;
--- a/src/PlatformStandinServer.cpp
+++ b/src/PlatformStandinServer.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-/** A VM that has not registered for so long is taken off the list. */
-constexpr Duration vmLife = std::chrono::seconds(3);
+/** A VM whose last registration is older than this is removed from the list. */
+constexpr Duration registrationLifetime = std::chrono::seconds(3);
 constexpr Duration expiryInterval = std::chrono::milliseconds(500);
 
 Duration timeLeft(const grpc::CallbackServerContext &context)
@@ -132,7 +132,7 @@
     if (found == waiting_.end()) {
         return;
     }
-    if (answer.status_ != PlatformStatus::Lost) { // Else the caller's own deadline tells it.
+    if (answer.status_ != PlatformStatus::Lost) { // A lost answer is never sent: the client's own deadline ends the call.
         found->second.call_->answer([&] { found->second.fill_(answer); });
     }
     found->second.call_->release();
@@ -144,7 +144,7 @@
     if (gone) {
         vms_.erase(vm.id_);
     } else {
-        vms_[vm.id_] = {vm, StandinClock::now() + vmLife};
+        vms_[vm.id_] = {vm, StandinClock::now() + registrationLifetime};
     }
     publishVms();
 }
--- a/src/PlatformStandinServer.h
+++ b/src/PlatformStandinServer.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines a server that lets the model of the platform be used over gRPC, in real time, with the proxies that register as its VMs.
+ * Defines a gRPC server that runs the model of the platform in real time; the proxies that register with it are its VMs.
  */
 #pragma once
 
@@ -14,11 +14,11 @@
 
 namespace Figward::Standin {
 
-/** Serves the object API. */
+/** Serves the object API of the platform and the registration of VMs. */
 class PlatformStandinServer : public v1::Platform::CallbackService
 {
 public:
-    /** A step on the model, such as a fault that is brought about. */
+    /** An operation on the model, such as the injection of a fault. */
     using Step = std::function<void(PlatformModel &, Time)>;
 
     PlatformStandinServer(PlatformModelConfig config, std::uint64_t seed);
@@ -26,10 +26,10 @@
     PlatformStandinServer &operator=(const PlatformStandinServer &) = delete;
     ~PlatformStandinServer() override;
 
-    /** Unavailable if \p address cannot be bound. */
+    /** Starts the server; returns Unavailable if \p address cannot be bound. */
     absl::Status start(const std::string &address);
     [[nodiscard]] const std::string &address() const;
-    /** Runs \p step between calls. */
+    /** Runs \p step on the clock's thread, between calls. */
     void run(const Step &step);
 
     grpc::ServerUnaryReactor *Get(grpc::CallbackServerContext *context, const v1::GetRequest *request, v1::ObjectAnswer *reply) override;
@@ -51,7 +51,7 @@
     };
 
     grpc::ServerUnaryReactor *begin(PlatformBody body, Duration timeout, std::function<void(const PlatformAnswer &)> fill);
-    /** The following run on the clock's thread. */
+    /** This and the following functions run on the clock's thread. */
     void deliverReplies();
     void deliver(PlatformTag tag, const PlatformAnswer &answer);
     void registerVm(const VmInfo &vm, bool gone);
@@ -61,11 +61,11 @@
     PlatformModel model_;
     std::uint64_t nextTag_ = 1;
     std::map<PlatformTag, WaitingCall> waiting_;
-    std::optional<Time> timeoutAt_; ///< When deliverReplies() runs for the sake of the first watch that ends.
+    std::optional<Time> timeoutAt_; ///< Time for which deliverReplies() is scheduled, to end the first watch that times out.
     std::map<VmId, RegisteredVm> vms_;
     std::vector<VmInfo> published_;
     std::string address_;
-    StandinClock clock_; // Its thread uses all of the above, and is the first to end.
+    StandinClock clock_; // Declared after the members that its thread uses, so that the thread ends before they are destroyed.
     ListeningServer server_;
 };
 
--- a/src/StandinCall.h
+++ b/src/StandinCall.h
@@ -9,11 +9,11 @@
 
 namespace Figward::Standin {
 
-/** Waits for answer(); ends by itself when the client gives up first. Deletes itself when it is done and release() was called. */
+/** Waits for answer() or refuse(); ends when the client cancels it first. Deletes itself once it is done and release() was called. */
 class StandinCall : public grpc::ServerUnaryReactor
 {
 public:
-    /** Lets \p fill write the reply and ends the call. Without effect if it has ended: its reply is gone then. */
+    /** Lets \p fill write the reply and ends the call. No effect if the call has already ended, because its reply no longer exists then. */
     void answer(const std::function<void()> &fill)
     {
         end(grpc::Status::OK, fill);
@@ -25,7 +25,7 @@
         end(status, [] {});
     }
 
-    /** The model holds no reference any more. */
+    /** Releases the reference held by the model. */
     void release()
     {
         dropReference();
@@ -68,7 +68,7 @@
     }
 
     std::mutex mutex_;
-    int references_ = 2; // gRPC's and the model's.
+    int references_ = 2; // One held by gRPC, one by the model.
     bool ended_ = false;
 };
 
--- a/src/StandinClock.cpp
+++ b/src/StandinClock.cpp
@@ -43,27 +43,27 @@
     const bool earlier = due_.empty() || at < due_.begin()->first;
     due_.emplace(at, std::move(task));
     if (earlier) {
-        arm();
+        scheduleTimer();
     }
 }
 
-void StandinClock::runDue()
+void StandinClock::runDueTasks()
 {
     while (!due_.empty() && due_.begin()->first <= now()) {
         const auto next = due_.extract(due_.begin());
         next.mapped()();
     }
     if (!due_.empty()) {
-        arm();
+        scheduleTimer();
     }
 }
 
-void StandinClock::arm()
+void StandinClock::scheduleTimer()
 {
     timer_.expires_at(std::chrono::steady_clock::time_point(due_.begin()->first.time_since_epoch()));
     timer_.async_wait([this](const boost::system::error_code &error) {
         if (!error) {
-            runDue();
+            runDueTasks();
         }
     });
 }
--- a/src/StandinClock.h
+++ b/src/StandinClock.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines the one thread on which a stand-in runs its model in real time.
+ * Defines the single thread on which a stand-in runs its model in real time.
  */
 #pragma once
 
@@ -14,7 +14,7 @@
 
 namespace Figward::Standin {
 
-/** Runs tasks in order on its thread, at once or at a given time. */
+/** Runs tasks in order on its thread, immediately or at a given time. */
 class StandinClock
 {
 public:
@@ -26,16 +26,16 @@
     ~StandinClock();
 
     [[nodiscard]] static Time now();
-    /** Runs \p task soon. Thread-safe. */
+    /** Queues \p task to run as soon as possible. Thread-safe. */
     void post(Task task);
-    /** Runs \p task and returns when it has been run. Not from the clock's thread. */
+    /** Runs \p task and waits until it is done. Must not be called from the clock's thread. */
     void run(const Task &task);
-    /** Runs \p task at \p at, or now if that has passed; tasks of one instant run in the order of these calls. From the clock's thread only. */
+    /** Runs \p task at \p at, or immediately if that time has passed; tasks for the same time run in the order of the calls. Must be called from the clock's thread. */
     void runAt(Time at, Task task);
 
 private:
-    void runDue();
-    void arm();
+    void runDueTasks();
+    void scheduleTimer();
 
     boost::asio::io_context context_{1};
     boost::asio::executor_work_guard<boost::asio::io_context::executor_type> work_;
--- a/test/error/DemoFindsBrokenPromises.cpp
+++ b/test/error/DemoFindsBrokenPromises.cpp
@@ -1,5 +1,5 @@
-// The demonstration and the load compare what callers were told with the logs of the groups. If that comparison missed a lost or doubled
-// write, a broken promise would be reported as kept. Each kind of broken promise is put into the records here, and has to be found.
+// The demonstration compares the outcomes that callers received with the logs of the groups. If that comparison missed a lost or doubled
+// write, a violated guarantee would go unnoticed. Each kind of violation is put into the records here and must be found.
 
 #include "Demo.h"
 
--- a/test/golden/FailedStatements.cpp
+++ b/test/golden/FailedStatements.cpp
@@ -14,7 +14,7 @@
 
 constexpr Duration startTime = std::chrono::seconds(3);
 
-/** What `figward timeline --request ID --around MILLIS` prints of the world's logs. */
+/** Output of `figward timeline --request ID --around MILLIS` for the world's logs. */
 std::string follow(const SessionWorld &world, const std::string &id, std::chrono::milliseconds around)
 {
     TimeLine timeLine;
@@ -35,8 +35,8 @@
 
 } // namespace
 
-// A primary crashes and the platform's call to promote another is not answered. A write that comes meanwhile waits for a primary, and is refused as not run
-// before its time is up. The lines around its id name the crash of the primary and the call that failed.
+// A primary crashes and the platform does not answer the call to promote a replacement. A write that arrives meanwhile waits for a primary, and is refused
+// as not run before its timeout. The log lines around its id must name the crash of the primary and the failed call.
 TEST(FailedStatements, refusedWhileThePrimaryIsReplaced)
 {
     SessionWorld world;
@@ -51,7 +51,8 @@
     EXPECT_THAT(operationsPage(), HasSubstr(follow(world, id, std::chrono::milliseconds(2500))));
 }
 
-// A primary crashes while it runs a write. Whether it ran cannot be known, and the client is told so. The lines around its id name the member and the loss.
+// A primary crashes while it runs a write. Whether the write ran cannot be known, and the client gets an in-doubt answer. The log
+// lines around its id must name the member and the lost connection.
 TEST(FailedStatements, inDoubtWhenItsMemberCrashed)
 {
     SessionWorld world;
@@ -66,8 +67,9 @@
     EXPECT_THAT(operationsPage(), HasSubstr(follow(world, id, std::chrono::milliseconds(900))));
 }
 
-// All connections that a VM may have to the members are in use by work of half a second each, and more clients come than these can serve. One that has
-// waited for its whole time is refused as not run. Its line says that it was never given to a member, while the primary was in force all the time.
+// All connections that a VM may have to the members are busy with statements of half a second each, and more clients send statements than these connections
+// can serve. A statement whose timeout passes in the queue is refused as not run. Its log line must say that it was never sent to a member, although the
+// primary was active all the time.
 TEST(FailedStatements, refusedByAFullService)
 {
     SessionWorldConfig config;
--- a/test/golden/GoldenSession.cpp
+++ b/test/golden/GoldenSession.cpp
@@ -47,7 +47,7 @@
     world_.setTrace(&lines_);
 }
 
-void GoldenSession::tell(const std::string &line)
+void GoldenSession::traceStep(const std::string &line)
 {
     world_.note("-- " + line);
 }
@@ -63,7 +63,7 @@
     return *answer;
 }
 
-void GoldenSession::askOnly(ProxyIndex proxy, Request request)
+void GoldenSession::askWithoutWaiting(ProxyIndex proxy, Request request)
 {
     world_.ask(proxy, std::move(request), [this](const std::optional<Answer> &answer) {
         if (answer) {
@@ -117,12 +117,12 @@
     return request;
 }
 
-void GoldenSession::tellLogs()
+void GoldenSession::traceLogs()
 {
     const Standin::GroupModel &group = world_.group(0);
     for (Standin::MemberIndex member = 0; member < group.size(); ++member) {
         const auto text = [](std::string *out, const Standin::LogEntry &entry) { absl::StrAppend(out, describeEntry(entry)); };
-        tell(absl::StrCat("log of m", member, ": ", absl::StrJoin(group.log(member).entries(), "; ", text)));
+        traceStep(absl::StrCat("log of m", member, ": ", absl::StrJoin(group.log(member).entries(), "; ", text)));
     }
 }
 
@@ -133,7 +133,7 @@
         std::ofstream(pathOf(name)) << text;
         return;
     }
-    EXPECT_EQ(readFile(pathOf(name)), text) << "if the change is meant, remake the file as GoldenSession.h says and review its diff";
+    EXPECT_EQ(readFile(pathOf(name)), text) << "if the change is intended, regenerate the file as described in GoldenSession.h and review its diff";
 }
 
 } // namespace Figward::Testing
--- a/test/golden/GoldenSession.h
+++ b/test/golden/GoldenSession.h
@@ -1,7 +1,7 @@
 /** \file
- * Defines golden files of whole sessions: what passes in one scenario, as text that a reviewer reads in the diff.
+ * Defines golden files of whole sessions: the trace of one scenario as text, whose changes are reviewed as a diff.
  *
- * To make the files again after a change that is meant: `FIGWARD_REMAKE_GOLDEN=1 ctest --test-dir build -L golden`, then read `git diff test/golden`.
+ * To regenerate the files after an intended change: `FIGWARD_REMAKE_GOLDEN=1 ctest --test-dir build -L golden`, then read `git diff test/golden`.
  */
 #pragma once
 
@@ -12,34 +12,34 @@
 
 namespace Figward::Testing {
 
-/** One scenario in a small world: one group of three members, three proxies in three availability zones. */
+/** One scenario in a small simulated world: one group of three members, three proxies in three availability zones. */
 class GoldenSession
 {
 public:
-    /** Starts the world and lets it settle; the trace begins afterwards. */
+    /** Starts the world and runs it until it is stable; the trace begins afterwards. */
     explicit GoldenSession(WorldConfig config = {});
     GoldenSession(const GoldenSession &) = delete;
     GoldenSession &operator=(const GoldenSession &) = delete;
     ~GoldenSession() = default;
 
-    /** A line that tells what the scenario does next. */
-    void tell(const std::string &line);
-    /** The session asks at \p proxy and waits for its answer; its token is kept. */
+    /** Adds a line to the trace that describes the next step of the scenario. */
+    void traceStep(const std::string &line);
+    /** Sends \p request to \p proxy, waits for the answer and merges its token into that of the session. */
     Answer ask(ProxyIndex proxy, Request request);
-    /** The session asks and does not wait. */
-    void askOnly(ProxyIndex proxy, Request request);
-    /** Answers to askOnly() so far. */
+    /** Sends \p request to \p proxy without waiting for the answer. */
+    void askWithoutWaiting(ProxyIndex proxy, Request request);
+    /** Answers received so far to requests sent by askWithoutWaiting(). */
     [[nodiscard]] const std::vector<Answer> &answers() const;
     void run(Duration duration);
     [[nodiscard]] World &world();
 
-    /** Requests of this session, with its token. A write takes the next sequence. */
+    /** Create requests of this session, with its token. A write or commit gets the next sequence number. */
     Request read(const std::string &body);
     Request write(const std::string &body);
     Request step(RequestKind kind, TransactionId transaction, const std::string &body = {});
 
-    /** What every member's log holds, as lines of the trace. */
-    void tellLogs();
+    /** Adds the contents of every member's log to the trace. */
+    void traceLogs();
     /** Compares the trace with test/golden/sessions/\p name.txt, or writes the file when asked to. */
     void compare(const std::string &name) const;
 
