--- a/src/LoadSession.h
+++ b/src/LoadSession.h
@@ -11,7 +11,7 @@
 
 namespace Figward {
 
-/** A caller that writes increasing numbers under its own key in each group, and checks that its reads show its acknowledged writes. */
+/** A caller that writes increasing numbers under its own name in each group, and checks that its reads show its acknowledged writes. */
 class LoadSession
 {
 public:
@@ -22,7 +22,7 @@
     [[nodiscard]] const LoadRecords &records() const;
 
 private:
-    /** Starts a new session of the protocol, under a new key and at a random proxy. */
+    /** Starts a new session of the protocol, with a new name_ and at a random proxy. */
     void startSession();
     void runStatement();
     void read(const GroupId &group, bool acceptsAge);
--- a/src/StandinClock.h
+++ b/src/StandinClock.h
@@ -30,7 +30,10 @@
     void post(Task task);
     /** Runs \p task and waits until it is done. Must not be called from the clock's thread. */
     void run(const Task &task);
-    /** Runs \p task at \p at, or immediately if that time has passed; tasks for the same time run in the order of the calls. Must be called from the clock's thread. */
+    /**
+     * Runs \p task at \p at, or immediately if that time has passed; tasks for the same time run in the order of the calls. Must be called from the
+     * clock's thread.
+     */
     void runAt(Time at, Task task);
 
 private:
