--- a/src/GroupStandinServer.cpp
+++ b/src/GroupStandinServer.cpp
@@ -115,7 +115,7 @@
 {
     if (server_.server_) {
         server_.server_->Shutdown(std::chrono::system_clock::now());
-        clock_.run([] { /* Returns when what the last calls posted has been run. */ });
+        clock_.run([] { /* Waits until the tasks that the last calls posted have run. */ });
     }
 }
 
--- a/src/LineGroupModel.cpp
+++ b/src/LineGroupModel.cpp
@@ -178,8 +178,8 @@
     if (session.failed_) {
         return failure(ReplyCode::Malformed);
     }
-    const bool plainTransaction = session.inTransaction_ && !session.readOnly_;
-    if ((writes || plainTransaction) && !member.primary_) {
+    const bool readWriteTransaction = session.inTransaction_ && !session.readOnly_;
+    if ((writes || readWriteTransaction) && !member.primary_) {
         return failure(ReplyCode::ReadOnly);
     }
     if (request.after_ && !holds(member.log_, *request.after_)) {
@@ -286,14 +286,14 @@
 void LineGroupModel::findNewPrimary(const MemberId &id)
 {
     LineMember &old = member(id);
-    const LineMember &present = leader();
-    if (present.id_ == id || !present.primary_) {
+    const LineMember &current = leader();
+    if (current.id_ == id || !current.primary_) {
         return;
     }
     old.primary_ = false;
     old.sendsLog_ = false;
-    old.term_ = present.term_;
-    const auto differ = std::ranges::mismatch(old.log_, present.log_, {}, &LineCommit::point_, &LineCommit::point_);
+    old.term_ = current.term_;
+    const auto differ = std::ranges::mismatch(old.log_, current.log_, {}, &LineCommit::point_, &LineCommit::point_);
     old.log_.erase(differ.in1, old.log_.end());
 }
 
--- a/src/LineGroupModel.h
+++ b/src/LineGroupModel.h
@@ -66,7 +66,7 @@
     LineMember &member(const MemberId &id);
     [[nodiscard]] const LineMember &member(const MemberId &id) const;
     [[nodiscard]] const std::map<MemberId, LineMember> &members() const;
-    /** The primary of the highest term. */
+    /** The primary of the highest term; the first member by id if there is no primary. */
     [[nodiscard]] const LineMember &leader() const;
     /** Opens \p connection to \p member, which must be up. */
     void connect(ConnectionId connection, const MemberId &member);
@@ -97,7 +97,7 @@
     std::map<ConnectionId, LineSession> sessions_;
 };
 
-/** Whether \p log contains \p point, or a point of a later term in its place. */
+/** Whether \p log contains \p point. Every log contains position 0. */
 bool holds(const std::vector<LineCommit> &log, const LogPoint &point);
 /** The last point of the log of \p member. */
 LogPoint endOf(const LineMember &member);
--- a/src/PlatformModel.cpp
+++ b/src/PlatformModel.cpp
@@ -105,9 +105,9 @@
         [&](const GetObject &body) { return std::optional(get(body.path_)); },
         [&](const PutObject &body) { return std::optional(put(body, now)); },
         [&](const WatchObject &body) {
-            const PlatformAnswer present = get(body.path_);
-            if (present.version_ > body.after_) {
-                return std::optional(present);
+            const PlatformAnswer current = get(body.path_);
+            if (current.version_ > body.after_) {
+                return std::optional(current);
             }
             watches_.push_back({tag, call.id_, body.path_, body.after_, now + call.timeout_});
             return std::optional<PlatformAnswer>();
@@ -129,11 +129,11 @@
 PlatformAnswer PlatformModel::put(const PutObject &put, Time now)
 {
     const auto found = objects_.find(put.path_);
-    const ObjectVersion present = found == objects_.end() ? ObjectVersion(0) : found->second.version_;
-    if (present != put.expected_) {
-        return {.status_ = PlatformStatus::Conflict, .version_ = present};
+    const ObjectVersion current = found == objects_.end() ? ObjectVersion(0) : found->second.version_;
+    if (current != put.expected_) {
+        return {.status_ = PlatformStatus::Conflict, .version_ = current};
     }
-    const ObjectVersion next(present.value() + 1);
+    const ObjectVersion next(current.value() + 1);
     objects_[put.path_] = {next, put.value_};
     notifyWatches(put.path_, now);
     return {.status_ = PlatformStatus::Ok, .version_ = next};
@@ -152,16 +152,16 @@
 
 void PlatformModel::notifyWatches(const std::string &path, Time now)
 {
-    const PlatformAnswer present = get(path);
-    const auto concerns = [&](const Watch &watch) { return watch.path_ == path && present.version_ > watch.after_; };
+    const PlatformAnswer current = get(path);
+    const auto isAffected = [&](const Watch &watch) { return watch.path_ == path && current.version_ > watch.after_; };
     for (const Watch &watch : watches_) {
-        if (concerns(watch)) {
-            PlatformAnswer answer = present;
+        if (isAffected(watch)) {
+            PlatformAnswer answer = current;
             answer.id_ = watch.id_;
             reply(watch.tag_, std::move(answer), now, watch.ends_ - now);
         }
     }
-    std::erase_if(watches_, concerns);
+    std::erase_if(watches_, isAffected);
 }
 
 /** Queues \p answer; if it is lost or too late, queues Lost for the time when the call's timeout ends. */
--- a/src/PlatformStandinServer.cpp
+++ b/src/PlatformStandinServer.cpp
@@ -37,7 +37,7 @@
 {
     if (server_.server_) {
         server_.server_->Shutdown(std::chrono::system_clock::now());
-        clock_.run([] { /* Returns when what the last calls posted has been run. */ });
+        clock_.run([] { /* Waits until the tasks that the last calls posted have run. */ });
     }
     for (const auto &[tag, waiting] : waiting_) {
         waiting.call_->release();
--- a/test/correctness/StandinGroupObeysUpstream.cpp
+++ b/test/correctness/StandinGroupObeysUpstream.cpp
@@ -83,7 +83,7 @@
     EXPECT_EQ(control(1, Promote{Term(2)}), ControlResult::Ok);
     EXPECT_EQ(ask(0, RequestKind::Write, Term(2), "put n x")->result_, UpstreamResult::WrongTerm);
     EXPECT_EQ(control(0, Follow{MemberId("b"), Term(2)}), ControlResult::Ok);
-    EXPECT_EQ(ask(0, RequestKind::Read, Term(0), "get n")->result_, UpstreamResult::WrongTerm) << "not before it has compared logs";
+    EXPECT_EQ(ask(0, RequestKind::Read, Term(0), "get n")->result_, UpstreamResult::WrongTerm) << "a member must not serve reads before it has compared logs";
     group_.setCut(0, 1, false, now_);
     group_.advance(now_ + delay);
     EXPECT_EQ(group_.log(0).entries(), group_.log(1).entries());
