--- a/src/CommandDemo.cpp
+++ b/src/CommandDemo.cpp
@@ -80,7 +80,7 @@
     DemoOptions demoOptions;
     demoOptions.length_ = std::chrono::seconds(options.seconds_);
     demoOptions.logPrefix_ = options.logPrefix_;
-    demoOptions.narration_ = options.json_ ? nullptr : &std::cout;
+    demoOptions.progressOutput_ = options.json_ ? nullptr : &std::cout;
     const absl::StatusOr<DemoResult> result = runDemo(demoOptions);
     if (!result.ok()) {
         std::cerr << "the demo could not be run: " << result.status().ToString() << '\n';
--- a/src/CommandLoad.cpp
+++ b/src/CommandLoad.cpp
@@ -89,7 +89,7 @@
         ->check(CLI::Range(0U, percent))
         ->capture_default_str();
     command->add_option("--max-staleness-ms", options->staleMillis_, "The age that they accept, ms")->capture_default_str();
-    command->add_option("--hops", plan.hopPercent_, "Statements before which a session moves to another proxy, percent")
+    command->add_option("--hops", plan.proxyChangePercent_, "Statements before which a session moves to another proxy, percent")
         ->check(CLI::Range(0U, percent))
         ->capture_default_str();
     command->add_option("--seed", plan.seed_, "Seed of the draws")->capture_default_str();
--- a/src/CommandTimeline.cpp
+++ b/src/CommandTimeline.cpp
@@ -34,7 +34,7 @@
 {
     TimeLine timeLine = readLogs(options.files_);
     if (!options.request_.empty()) {
-        TimeLine filtered = followRequest(timeLine, options.request_, std::chrono::milliseconds(options.aroundMillis_));
+        TimeLine filtered = filterByRequest(timeLine, options.request_, std::chrono::milliseconds(options.aroundMillis_));
         if (filtered.events_.empty()) {
             std::cerr << "no log line has the id " << options.request_ << '\n';
             exitWith(ExitCode::BadInput);
--- a/src/Demo.cpp
+++ b/src/Demo.cpp
@@ -69,9 +69,9 @@
 
     void report(const char *what)
     {
-        if (options_.narration_ != nullptr) {
+        if (options_.progressOutput_ != nullptr) {
             const double seconds = std::chrono::duration<double>(LoadClock::now() - start_).count();
-            *options_.narration_ << absl::StrFormat("%6.2f s  %s\n", seconds, what) << std::flush;
+            *options_.progressOutput_ << absl::StrFormat("%6.2f s  %s\n", seconds, what) << std::flush;
         }
     }
 
--- a/src/Demo.h
+++ b/src/Demo.h
@@ -19,7 +19,7 @@
 {
     std::chrono::seconds length_{20}; ///< Duration of the load.
     std::string logPrefix_;
-    std::ostream *narration_ = nullptr; ///< Receives a line for each step of the schedule; may be null.
+    std::ostream *progressOutput_ = nullptr; ///< Receives a line for each step of the schedule; may be null.
 };
 
 /** Results of a demonstration. They come from the callers and the logs of the groups only, not from counters of the proxies. */
--- a/src/LineGroupModel.cpp
+++ b/src/LineGroupModel.cpp
@@ -233,7 +233,7 @@
     }
     const LineMember &source = *sender;
     for (auto &[id, member] : members_) {
-        if (&member == sender || member.primary_ || !member.up_ || member.deaf_) {
+        if (&member == sender || member.primary_ || !member.up_ || member.receivesNothing_) {
             continue;
         }
         member.term_ = source.term_;
--- a/src/LineGroupModel.h
+++ b/src/LineGroupModel.h
@@ -31,7 +31,7 @@
     bool up_ = true;
     bool primary_ = false;
     bool sendsLog_ = false; ///< Replicas receive its log. True for the primary, also after it has stepped down, until another member is promoted.
-    bool deaf_ = false; ///< Receives no commits from the primary.
+    bool receivesNothing_ = false; ///< Receives no commits from the primary.
     Duration lag_ = std::chrono::milliseconds(8);
     Term term_{1};
     std::vector<LineCommit> log_; ///< Commits that the member has made or received.
--- a/src/LoadPlan.h
+++ b/src/LoadPlan.h
@@ -25,7 +25,7 @@
     unsigned writePercent_ = 30;
     unsigned stalePercent_ = 40; ///< Reads that accept data as old as maxStaleness_.
     Duration maxStaleness_ = std::chrono::seconds(1);
-    unsigned hopPercent_ = 20; ///< Statements before which the session picks a new proxy.
+    unsigned proxyChangePercent_ = 20; ///< Statements before which the session picks a new proxy.
     Duration timeout_ = std::chrono::seconds(2);
     std::uint64_t seed_ = 1;
 };
--- a/src/LoadSession.cpp
+++ b/src/LoadSession.cpp
@@ -72,7 +72,7 @@
 
 void LoadSession::runStatement()
 {
-    if (random_() % 100 < plan_.hopPercent_ || !proxies_.isOpen(proxy_)) {
+    if (random_() % 100 < plan_.proxyChangePercent_ || !proxies_.isOpen(proxy_)) {
         proxy_ = proxies_.pick(random_);
     }
     const GroupId &group = plan_.groups_[random_() % plan_.groups_.size()];
--- a/src/PlatformModel.cpp
+++ b/src/PlatformModel.cpp
@@ -167,7 +167,7 @@
 /** Queues \p answer; if it is lost or too late, queues Lost for the time when the call's timeout ends. */
 void PlatformModel::reply(PlatformTag tag, PlatformAnswer answer, Time asked, Duration timeout)
 {
-    const Duration took = config_.answerTime_ + faults_.slowness_;
+    const Duration took = config_.answerTime_ + faults_.additionalLatency_;
     const bool lost = faults_.lossPercent_ > 0 && random_() % percent < faults_.lossPercent_;
     if (lost || took > timeout) {
         replies_.push_back({asked + timeout, tag, {.id_ = answer.id_, .status_ = PlatformStatus::Lost}});
--- a/src/PlatformModel.h
+++ b/src/PlatformModel.h
@@ -28,7 +28,7 @@
 {
     bool down_ = false; ///< Calls do not reach the platform.
     bool silent_ = false; ///< While the platform is down, calls end by their own timeout (Lost) instead of failing at once (Unavailable).
-    Duration slowness_{}; ///< Added to the time of each answer. A call that takes longer than its timeout is Lost, but takes effect.
+    Duration additionalLatency_{}; ///< Added to the time of each answer. A call that takes longer than its timeout is Lost, but takes effect.
     unsigned lossPercent_ = 0; ///< Probability that an answer is lost after its call took effect.
 };
 
--- a/src/TimeLine.cpp
+++ b/src/TimeLine.cpp
@@ -59,7 +59,7 @@
     std::ranges::stable_sort(timeLine.events_, {}, &LogLine::time_);
 }
 
-TimeLine followRequest(const TimeLine &timeLine, const std::string &id, std::chrono::milliseconds margin)
+TimeLine filterByRequest(const TimeLine &timeLine, const std::string &id, std::chrono::milliseconds margin)
 {
     const auto hasRequestId = [&](const LogLine &event) {
         return std::ranges::any_of(event.fields_, [&](const LogField &field) { return field.key_ == "id" && field.value_ == id; });
--- a/src/TimeLine.h
+++ b/src/TimeLine.h
@@ -33,7 +33,7 @@
  * Returns the events related to the request \p id over all processes: the lines with this id, and the lines without any id (state changes of members, the
  * store or the configuration) from \p margin before the first line of the request to \p margin after its last. Lines of other requests are omitted.
  */
-TimeLine followRequest(const TimeLine &timeLine, const std::string &id, std::chrono::milliseconds margin);
+TimeLine filterByRequest(const TimeLine &timeLine, const std::string &id, std::chrono::milliseconds margin);
 /** Writes one line for each event: time, milliseconds since the previous event, process, number, name and fields. */
 void writeText(const TimeLine &timeLine, std::ostream &out);
 /** Writes JSON for chrome://tracing and Perfetto: a track for each process, and an instant event for each log event. */
--- a/test/correctness/TimeLineMergesLogs.cpp
+++ b/test/correctness/TimeLineMergesLogs.cpp
@@ -53,13 +53,13 @@
         {line("01.000", "416 authority-lost a epoch=1") + line("04.500", "601 store-lost a") + line("05.000", "507 statement-retried a id=r1")
              + line("05.100", "505 statement-refused a id=r2"),
          line("05.200", "505 statement-refused b id=r1") + line("06.000", "417 authority-regained b epoch=2") + line("09.000", "602 store-regained b")});
-    const TimeLine filtered = followRequest(timeLine, "r1", std::chrono::milliseconds(1000));
+    const TimeLine filtered = filterByRequest(timeLine, "r1", std::chrono::milliseconds(1000));
     std::vector<int> numbers;
     for (const LogLine &event : filtered.events_) {
         numbers.push_back(event.number_);
     }
     EXPECT_THAT(numbers, ElementsAre(601, 507, 505, 417));
-    EXPECT_TRUE(followRequest(timeLine, "r3", std::chrono::milliseconds(1000)).events_.empty());
+    EXPECT_TRUE(filterByRequest(timeLine, "r3", std::chrono::milliseconds(1000)).events_.empty());
 }
 
 TEST(TimeLineMergesLogs, linesThatAreNoEventsAreNamed)
--- a/test/error/SessionPrimaryIsLost.cpp
+++ b/test/error/SessionPrimaryIsLost.cpp
@@ -73,8 +73,8 @@
         world.cutVmFromMember(other, 0, true);
     }
     world.cutVmFromStore(isolated, true);
-    world.group().member(SessionWorld::memberId(1)).deaf_ = true;
-    world.group().member(SessionWorld::memberId(2)).deaf_ = true;
+    world.group().member(SessionWorld::memberId(1)).receivesNothing_ = true;
+    world.group().member(SessionWorld::memberId(2)).receivesNothing_ = true;
     for (int round = 0; round < 200 && world.promotions() == 0; ++round) {
         world.send(client, StatementKind::Write, "WRITE a 2");
         world.run(std::chrono::milliseconds(50));
--- a/test/error/SessionVmsAreSplit.cpp
+++ b/test/error/SessionVmsAreSplit.cpp
@@ -28,7 +28,7 @@
             }
         }
     }
-    world.group().member(SessionWorld::memberId(replica)).deaf_ = cut;
+    world.group().member(SessionWorld::memberId(replica)).receivesNothing_ = cut;
 }
 
 SessionWorldConfig config()
--- a/test/fuzz/Trial.cpp
+++ b/test/fuzz/Trial.cpp
@@ -396,7 +396,7 @@
         world_.platform().setFaults({.down_ = true, .silent_ = action.choice_ % 2 == 0});
         world_.schedule(ends, [this] { world_.platform().setFaults({}); });
     } else if (action.kind_ == ActionKind::PlatformLossy) {
-        world_.platform().setFaults({.slowness_ = second / 5, .lossPercent_ = often});
+        world_.platform().setFaults({.additionalLatency_ = second / 5, .lossPercent_ = often});
         world_.schedule(ends, [this] { world_.platform().setFaults({}); });
     } else {
         world_.setPeerFaults({.dropPercent_ = often / 3, .doublePercent_ = often, .delayPercent_ = often});
--- a/test/golden/FailedStatements.cpp
+++ b/test/golden/FailedStatements.cpp
@@ -23,7 +23,7 @@
     EXPECT_TRUE(timeLine.unreadable_.empty());
     orderByTime(timeLine);
     std::ostringstream out;
-    writeText(followRequest(timeLine, id, around), out);
+    writeText(filterByRequest(timeLine, id, around), out);
     return out.str();
 }
 
--- a/test/performance/FailoverGap.cpp
+++ b/test/performance/FailoverGap.cpp
@@ -104,7 +104,7 @@
 void setPlatform(Trial &trial, PlatformState state)
 {
     if (state == PlatformState::Slow) {
-        trial.world_.platform().setFaults({.slowness_ = 3 * second});
+        trial.world_.platform().setFaults({.additionalLatency_ = 3 * second});
     } else if (state == PlatformState::Down) {
         trial.world_.platform().setFaults({.down_ = true, .silent_ = trial.random_() % 2 == 0});
     }
--- a/test/performance/SessionGap.cpp
+++ b/test/performance/SessionGap.cpp
@@ -79,7 +79,7 @@
             world.cutVmFromMember(vm, 0, true);
         }
         for (unsigned replica = 1; replica < members; ++replica) {
-            world.group().member(SessionWorld::memberId(replica)).deaf_ = true;
+            world.group().member(SessionWorld::memberId(replica)).receivesNothing_ = true;
         }
     }
 }
