--- a/src/ConfigurationFetching.cpp
+++ b/src/ConfigurationFetching.cpp
@@ -26,7 +26,7 @@
         sendPeer(state, *fetch.source_, ManifestRequest{}, out);
         return;
     }
-    callPlatform(state, PlatformUser::ConfigurationPart, GetObject{manifestPath()}, fetchTimeout, out, {}, {});
+    callPlatform(state, PlatformRequester::ConfigurationPart, GetObject{manifestPath()}, fetchTimeout, out, {}, {});
 }
 
 void requestParts(ProxyState &state, const ConfigurationFetch &fetch, Effects &out)
@@ -43,7 +43,7 @@
         return;
     }
     for (const std::string &hash : hashes) {
-        callPlatform(state, PlatformUser::ConfigurationPart, GetObject{partPath(hash)}, fetchTimeout, out, {}, hash);
+        callPlatform(state, PlatformRequester::ConfigurationPart, GetObject{partPath(hash)}, fetchTimeout, out, {}, hash);
     }
 }
 
--- a/src/ConfigurationSync.cpp
+++ b/src/ConfigurationSync.cpp
@@ -34,13 +34,13 @@
 void watch(ProxyState &state, Effects &out)
 {
     state.sync_.watching_ = true;
-    callPlatform(state, PlatformUser::ConfigurationWatch, WatchObject{manifestPath(), state.sync_.watchedVersion_}, watchTimeout, out);
+    callPlatform(state, PlatformRequester::ConfigurationWatch, WatchObject{manifestPath(), state.sync_.watchedVersion_}, watchTimeout, out);
 }
 
 void readOnce(ProxyState &state, Effects &out)
 {
     state.sync_.watching_ = true;
-    callPlatform(state, PlatformUser::ConfigurationWatch, GetObject{manifestPath()}, firstReadTimeout, out);
+    callPlatform(state, PlatformRequester::ConfigurationWatch, GetObject{manifestPath()}, firstReadTimeout, out);
 }
 
 void renewWatch(ProxyState &state, Time now, Effects &out)
@@ -99,7 +99,7 @@
     const bool isManifest = call.detail_.empty();
     if (!isManifest) {
         const bool progress = onPartFetched(state, answer.value_, now, out);
-        const auto isFetch = [](const auto &entry) { return entry.second.requester_ == PlatformUser::ConfigurationPart; };
+        const auto isFetch = [](const auto &entry) { return entry.second.requester_ == PlatformRequester::ConfigurationPart; };
         if (progress && std::ranges::none_of(state.platform_.outstanding_, isFetch)) {
             continueFetch(state, now, out);
         }
@@ -147,7 +147,7 @@
 
 void onConfigurationAnswer(ProxyState &state, const OutstandingCall &call, const PlatformAnswer &answer, Time now, Effects &out)
 {
-    if (call.requester_ == PlatformUser::ConfigurationWatch) {
+    if (call.requester_ == PlatformRequester::ConfigurationWatch) {
         onWatchAnswer(state, answer, now, out);
     } else {
         onPartAnswer(state, call, answer, now, out);
--- a/src/GroupRecord.cpp
+++ b/src/GroupRecord.cpp
@@ -162,7 +162,7 @@
     }
     recordState.busy_ = true;
     if (!recordState.known_) {
-        callPlatform(state, PlatformUser::GroupRecord, GetObject{groupRecordPath(owner.config_.id_)}, recordTimeout, out, owner.config_.id_);
+        callPlatform(state, PlatformRequester::GroupRecord, GetObject{groupRecordPath(owner.config_.id_)}, recordTimeout, out, owner.config_.id_);
         return;
     }
     GroupRecord next = *recordState.known_;
@@ -174,7 +174,7 @@
     updateGrants(next, failoverRanking(state, owner), state.identity_.self_.id_, wantsBlock);
     PutObject put{groupRecordPath(owner.config_.id_), recordState.version_, encodeGroupRecord(next)};
     recordState.pendingUpdate_ = std::move(next);
-    callPlatform(state, PlatformUser::GroupRecord, std::move(put), recordTimeout, out, owner.config_.id_);
+    callPlatform(state, PlatformRequester::GroupRecord, std::move(put), recordTimeout, out, owner.config_.id_);
 }
 
 void handleGroupRecordAnswer(ProxyState &state, GroupOwner &owner, const PlatformAnswer &answer, Time now, Effects &out)
--- a/src/Membership.cpp
+++ b/src/Membership.cpp
@@ -29,7 +29,7 @@
 
 void poll(ProxyState &state, Time now, Effects &out)
 {
-    callPlatform(state, PlatformUser::Membership, ListVms{}, listTimeout, out);
+    callPlatform(state, PlatformRequester::Membership, ListVms{}, listTimeout, out);
     const FleetTuning &tuning = state.membership_.tuning_;
     const Duration interval = std::max(tuning.minPollInterval_, tuning.pollIntervalPerVm_ * static_cast<std::int64_t>(state.membership_.vms_.size()));
     state.timers_.arm(now + jittered(state, interval), {TimerTopic::Membership, {}, pollKey});
--- a/src/PlatformClient.cpp
+++ b/src/PlatformClient.cpp
@@ -4,7 +4,7 @@
 
 namespace Figward {
 
-CallId callPlatform(ProxyState &state, PlatformUser requester, PlatformBody body, Duration timeout, Effects &out, GroupId group, std::string detail)
+CallId callPlatform(ProxyState &state, PlatformRequester requester, PlatformBody body, Duration timeout, Effects &out, GroupId group, std::string detail)
 {
     const CallId id(state.platform_.nextCall_++);
     state.platform_.outstanding_[id] = {requester, std::move(group), std::move(detail)};
@@ -21,17 +21,17 @@
     const OutstandingCall call = std::move(found->second);
     state.platform_.outstanding_.erase(found);
     switch (call.requester_) {
-    case PlatformUser::Membership:
+    case PlatformRequester::Membership:
         onVmListAnswer(state, answer, now, out);
         return;
-    case PlatformUser::ConfigurationWatch:
-    case PlatformUser::ConfigurationPart:
+    case PlatformRequester::ConfigurationWatch:
+    case PlatformRequester::ConfigurationPart:
         onConfigurationAnswer(state, call, answer, now, out);
         return;
-    case PlatformUser::GroupRecord:
+    case PlatformRequester::GroupRecord:
         onGroupRecordAnswer(state, call, answer, now, out);
         return;
-    case PlatformUser::Status:
+    case PlatformRequester::Status:
         onStatusAnswer(state, answer, now, out);
         return;
     }
--- a/src/PlatformClient.h
+++ b/src/PlatformClient.h
@@ -25,7 +25,7 @@
 /** A call whose answer is pending. */
 struct OutstandingCall
 {
-    PlatformUser requester_{};
+    PlatformRequester requester_{};
     GroupId group_; ///< Set for calls of GroupRecord.
     std::string detail_; ///< Data of the requester, such as the content hash of a requested part.
 };
@@ -38,7 +38,8 @@
 };
 
 /** Calls the platform on behalf of \p requester, which receives the answer. */
-CallId callPlatform(ProxyState &state, PlatformUser requester, PlatformBody body, Duration timeout, Effects &out, GroupId group = {}, std::string detail = {});
+CallId
+callPlatform(ProxyState &state, PlatformRequester requester, PlatformBody body, Duration timeout, Effects &out, GroupId group = {}, std::string detail = {});
 /** Passes an answer to the component that made the call; an answer to an unknown call is ignored. */
 void onPlatformAnswered(ProxyState &state, const PlatformAnswer &answer, Time now, Effects &out);
 
--- a/src/Status.cpp
+++ b/src/Status.cpp
@@ -141,13 +141,13 @@
     status.writtenAt_ = now;
     const std::string path = statusPath(state.identity_.self_.zone_);
     if (!status.versionKnown_) {
-        callPlatform(state, PlatformUser::Status, GetObject{path}, callTimeout, out);
+        callPlatform(state, PlatformRequester::Status, GetObject{path}, callTimeout, out);
         return;
     }
     status.changed_ = false;
     std::string report = encodeZoneReport(zoneReport(state, now));
     status.writtenBytes_ = report.size();
-    callPlatform(state, PlatformUser::Status, PutObject{path, status.version_, std::move(report)}, callTimeout, out);
+    callPlatform(state, PlatformRequester::Status, PutObject{path, status.version_, std::move(report)}, callTimeout, out);
 }
 
 } // namespace
