--- a/src/Transport.cpp
+++ b/src/Transport.cpp
@@ -18,7 +18,7 @@
 constexpr milliseconds connectTimeout(1000);
 constexpr milliseconds keepaliveInterval(5000);
 constexpr milliseconds keepaliveTimeout(2000);
-constexpr milliseconds shortestPingInterval(1000); // Servers end connections that ping more often.
+constexpr milliseconds shortestPingInterval(1000); // Servers close connections that ping more often.
 
 int asArgument(milliseconds duration)
 {
@@ -31,20 +31,20 @@
 }
 
 /**
- * Keeps \p channel, if it is the first, until the process has ended. When the last channel goes, gRPC winds up its callback queue on threads of its own; if
- * the process ends meanwhile, one of them aborts it after its work was done, with a wrong exit code. A queue that is never wound up cannot do that.
+ * Keeps the first \p channel alive until the process exits. When the last channel is destroyed, gRPC shuts down its callback queue on its own threads; if
+ * the process exits meanwhile, one of them aborts it after all work is done, with a wrong exit code. A queue that is never shut down avoids this.
  */
-void keepFirst(const std::shared_ptr<grpc::Channel> &channel)
+void keepFirstChannel(const std::shared_ptr<grpc::Channel> &channel)
 {
     static std::once_flag once;
     std::call_once(once, [&] { [[maybe_unused]] static const auto *kept = new std::shared_ptr<grpc::Channel>(channel); });
 }
 
 /**
- * Debian builds absl with its search for lock cycles, which gRPC pays at each of its locks, all threads under one global lock. It looks for faults of
- * gRPC itself, and aborts when it finds one; no lock of figward is of this kind.
+ * Disables the deadlock detection of absl::Mutex, which Debian's build enables. It makes each lock operation in gRPC take one global lock, and aborts the
+ * process when it finds a lock cycle. It can find only faults in gRPC, since figward does not use absl::Mutex.
  */
-void stopLockCycleSearch()
+void disableDeadlockDetection()
 {
     static std::once_flag once;
     std::call_once(once, [] { absl::SetMutexDeadlockDetectionMode(absl::OnDeadlockCycle::kIgnore); });
@@ -83,22 +83,22 @@
 
 std::shared_ptr<grpc::Channel> openChannel(const std::string &address, const std::shared_ptr<grpc::ChannelCredentials> &credentials)
 {
-    stopLockCycleSearch();
+    disableDeadlockDetection();
     grpc::ChannelArguments arguments;
     arguments.SetMaxReceiveMessageSize(messageLimit);
     arguments.SetInt(GRPC_ARG_INITIAL_RECONNECT_BACKOFF_MS, asArgument(firstReconnect));
-    // Also the time after which an attempt to connect is given up.
+    // Also the timeout of a connection attempt.
     arguments.SetInt(GRPC_ARG_MIN_RECONNECT_BACKOFF_MS, asArgument(connectTimeout));
     arguments.SetInt(GRPC_ARG_MAX_RECONNECT_BACKOFF_MS, asArgument(longestReconnect));
     arguments.SetInt(GRPC_ARG_KEEPALIVE_TIME_MS, asArgument(keepaliveInterval));
     arguments.SetInt(GRPC_ARG_KEEPALIVE_TIMEOUT_MS, asArgument(keepaliveTimeout));
     arguments.SetInt(GRPC_ARG_HTTP2_MAX_PINGS_WITHOUT_DATA, 0);
-    // Proxies that share a test process must not share sockets: killing one would not end its connections.
+    // Proxies in one test process must not share sockets; otherwise, stopping one would not close its connections.
     arguments.SetInt(GRPC_ARG_USE_LOCAL_SUBCHANNEL_POOL, 1);
-    // Addresses are IP numbers from settings; a proxy variable of the environment is not for them.
+    // Addresses are IP addresses from the settings; proxy variables of the environment must not apply to them.
     arguments.SetInt(GRPC_ARG_ENABLE_HTTP_PROXY, 0);
     std::shared_ptr<grpc::Channel> channel = grpc::CreateCustomChannel(address, credentials, arguments);
-    keepFirst(channel);
+    keepFirstChannel(channel);
     return channel;
 }
 
@@ -126,13 +126,13 @@
 absl::StatusOr<ListeningServer>
 listen(const std::vector<std::string> &addresses, const std::shared_ptr<grpc::ServerCredentials> &credentials, grpc::Service &service, int messageLimit)
 {
-    stopLockCycleSearch();
+    disableDeadlockDetection();
     grpc::ServerBuilder builder;
     std::vector<int> ports(addresses.size(), 0);
     for (std::size_t i = 0; i < addresses.size(); ++i) {
         builder.AddListeningPort(addresses[i], credentials, &ports[i]);
     }
-    // With address reuse two processes could share a port, and half of the callers would meet the wrong one.
+    // With port reuse, two processes could share a port, and half of the callers would reach the wrong one.
     builder.AddChannelArgument(GRPC_ARG_ALLOW_REUSEPORT, 0);
     builder.AddChannelArgument(GRPC_ARG_HTTP2_MIN_RECV_PING_INTERVAL_WITHOUT_DATA_MS, asArgument(shortestPingInterval));
     builder.AddChannelArgument(GRPC_ARG_KEEPALIVE_PERMIT_WITHOUT_CALLS, 1);
--- a/src/Transport.h
+++ b/src/Transport.h
@@ -16,13 +16,13 @@
 
 namespace Figward {
 
-/** Stops gRPC from writing to standard error: what it reports there reaches figward as a status, and is logged with its own number. */
+/** Stops gRPC from writing to standard error: the same failures reach figward as a status and are logged under an event number of figward. */
 void silenceLibraryLog();
 
 /** Largest message that a caller may send, in bytes. */
 inline constexpr int callerMessageLimit = 1 << 20;
 /**
- * Largest message between other processes, in bytes. Far above the caller's limit: what was accepted from a caller is forwarded in an envelope and
+ * Largest message between other processes, in bytes. Far above the caller's limit, since accepted requests are forwarded in an envelope and
  * in batches, and a message above a receiver's limit would break the stream that all requests between two proxies share.
  */
 inline constexpr int messageLimit = 1 << 24;
@@ -32,7 +32,7 @@
 {
     std::string certificateChain_;
     std::string privateKey_;
-    std::string rootCertificates_; ///< Those that sign the other side's certificate.
+    std::string rootCertificates_; ///< Certificates of the authorities that sign the peer's certificate.
 };
 
 /** Whether a server asks its clients for a certificate. */
@@ -46,7 +46,7 @@
 /** Credentials of a server; without \p tls it speaks plain text. */
 std::shared_ptr<grpc::ServerCredentials> serverCredentials(const std::optional<TlsMaterial> &tls, ClientCertificate asked);
 
-/** Opens a channel that reconnects within half a second and notices a silent peer within seconds. */
+/** Opens a channel that reconnects within half a second and detects an unresponsive peer within seconds. */
 std::shared_ptr<grpc::Channel> openChannel(const std::string &address, const std::shared_ptr<grpc::ChannelCredentials> &credentials);
 
 /** The channels of one process, one for each address, opened on first use. Thread-safe. */
@@ -62,18 +62,18 @@
     std::map<std::string, std::shared_ptr<grpc::Channel>> channels_;
 };
 
-/** A server that listens. */
+/** A running server and the addresses that it listens on. */
 struct ListeningServer
 {
     std::unique_ptr<grpc::Server> server_;
     std::string address_; ///< "host:port" with the port that was bound; the first if there are several.
-    std::vector<std::string> addresses_; ///< All of them, in the order asked for.
+    std::vector<std::string> addresses_; ///< All bound addresses, in the requested order.
 };
 
-/** Serves \p service at \p address, "host:port"; port 0 takes a free one. Unavailable if the port cannot be bound. */
+/** Serves \p service at \p address, "host:port"; port 0 selects a free port. Returns Unavailable if the port cannot be bound. */
 absl::StatusOr<ListeningServer>
 listen(const std::string &address, const std::shared_ptr<grpc::ServerCredentials> &credentials, grpc::Service &service, int messageLimit);
-/** The same at several addresses at once. */
+/** Serves \p service at several addresses. */
 absl::StatusOr<ListeningServer>
 listen(const std::vector<std::string> &addresses, const std::shared_ptr<grpc::ServerCredentials> &credentials, grpc::Service &service, int messageLimit);
 
--- a/src/WirePeer.h
+++ b/src/WirePeer.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines how messages between proxies become protobuf messages and back.
+ * Defines the conversion of messages between proxies to and from protobuf messages.
  */
 #pragma once
 
--- a/src/WirePlatform.h
+++ b/src/WirePlatform.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines how calls to the platform become protobuf messages and back.
+ * Defines the conversion of calls to the platform to and from protobuf messages.
  */
 #pragma once
 
@@ -15,10 +15,10 @@
 void encode(const VmInfo &vm, v1::VmInfo &out);
 VmInfo decode(const v1::VmInfo &in);
 v1::PlatformStatus encode(PlatformStatus status);
-/** An answer that has arrived is never Lost. */
+/** Decodes the status of an answer. The result is never Lost, which stands for a missing answer. */
 absl::StatusOr<PlatformStatus> decode(v1::PlatformStatus in);
 
-/** The answer to a Get, Put or Watch. */
+/** Decodes the answer to a Get, Put or Watch. */
 absl::StatusOr<PlatformAnswer> decode(CallId call, v1::ObjectAnswer &&in);
 absl::StatusOr<PlatformAnswer> decode(CallId call, const v1::ListVmsAnswer &in);
 v1::ObjectAnswer encodeObject(const PlatformAnswer &answer);
--- a/src/WireRequest.cpp
+++ b/src/WireRequest.cpp
@@ -36,7 +36,7 @@
     }
 }
 
-// Both lists are written in the same order, which a test holds them to.
+// The enumerators of both types are declared in the same order; a test checks this.
 v1::ErrorKind encode(ErrorKind kind)
 {
     return static_cast<v1::ErrorKind>(kind);
--- a/src/WireRequest.h
+++ b/src/WireRequest.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines how requests, answers and tokens become protobuf messages and back. Every decoder checks what it is given.
+ * Defines the conversion of requests, answers and tokens to and from protobuf messages. Every decoder validates its input.
  */
 #pragma once
 
@@ -14,10 +14,10 @@
 
 namespace Figward::Wire {
 
-/** Longest time that a message may name; longer ones would overflow when they are added to an instant. */
+/** Longest duration that a message may contain; adding a longer one to a time point would overflow. */
 inline constexpr Duration longestDuration = std::chrono::hours(24 * 365);
 
-/** \p micros as a duration; InvalidArgument above longestDuration. */
+/** Converts \p micros to a duration. Returns InvalidArgument above longestDuration. */
 absl::StatusOr<Duration> decodeDuration(std::uint64_t micros);
 std::uint64_t encodeDuration(Duration duration);
 
@@ -28,27 +28,27 @@
 v1::RequestKind encode(RequestKind kind);
 absl::StatusOr<RequestKind> decode(v1::RequestKind in);
 
-/** Everything but the token. */
+/** Encodes all fields except the token. */
 void encode(const Request &request, v1::Request &out);
 absl::StatusOr<Request> decode(const v1::Request &in);
 void encode(const Answer &answer, v1::Answer &out);
 absl::StatusOr<Answer> decode(const v1::Answer &in);
 
-/** A token as proxies send it to each other. */
+/** Encodes a token in the form that proxies send to each other. */
 void encode(const SessionToken &token, google::protobuf::RepeatedPtrField<v1::SessionPoint> &out);
 SessionToken decode(const google::protobuf::RepeatedPtrField<v1::SessionPoint> &in);
 
-/** What a caller sent, or the answer that refuses it. */
+/** A caller's decoded request, or the error with which to refuse it. */
 struct CallerRequest
 {
     Request request_;
-    ErrorKind refusal_ = ErrorKind::None; ///< BadToken or BadRequest: the request is not for the reducer.
+    ErrorKind refusal_ = ErrorKind::None; ///< BadToken or BadRequest: the request must not be passed to the reducer.
 };
 
 CallerRequest decodeCallerRequest(const v1::ExecuteRequest &in);
 v1::ExecuteRequest encodeCallerRequest(const Request &request);
 v1::ExecuteAnswer encodeCallerAnswer(const Answer &answer);
-/** As a caller's library reads it. */
+/** Decodes an answer as a caller's library does. */
 absl::StatusOr<Answer> decodeCallerAnswer(const v1::ExecuteAnswer &in);
 
 } // namespace Figward::Wire
--- a/src/WireUpstream.h
+++ b/src/WireUpstream.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines how statements and control calls to members become protobuf messages and back.
+ * Defines the conversion of statements and control calls to members to and from protobuf messages.
  */
 #pragma once
 
