--- a/src/CallerServer.cpp
+++ b/src/CallerServer.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/** The caller of a single statement. */
+/** A caller of Execute(), which runs a single statement. */
 class UnaryCaller : public WaitingCaller
 {
 public:
@@ -16,7 +16,7 @@
     {
     }
 
-    void give(v1::ExecuteAnswer answer) override
+    void sendAnswer(v1::ExecuteAnswer answer) override
     {
         *out_ = std::move(answer);
         reactor_->Finish(grpc::Status::OK);
@@ -34,7 +34,7 @@
     v1::ExecuteAnswer *out_;
 };
 
-/** The refusal of \p request. The token goes back as it came: a caller that takes the answer's token must not lose what it had. */
+/** Returns the refusal of \p request. It carries the request's token, so that a caller that adopts the answer's token keeps its session's points. */
 v1::ExecuteAnswer refusal(const v1::ExecuteRequest &request, ErrorKind error)
 {
     v1::ExecuteAnswer out;
@@ -43,11 +43,11 @@
     return out;
 }
 
-/** Why \p request may not be asked by a caller whose open transaction is \p transaction. */
-ErrorKind misuse(const Request &request, TransactionId transaction)
+/** Returns why \p request is invalid from a caller whose open transaction is \p transaction, or None if it is valid. */
+ErrorKind validate(const Request &request, TransactionId transaction)
 {
     if (request.transaction_ != TransactionId(0) && request.transaction_ != transaction) {
-        return ErrorKind::NoSuchTransaction; // It would be another caller's.
+        return ErrorKind::NoSuchTransaction; // The transaction could belong to another caller.
     }
     const bool ends = request.kind_ == RequestKind::Commit || request.kind_ == RequestKind::Rollback;
     return ends && request.transaction_ == TransactionId(0) ? ErrorKind::BadRequest : ErrorKind::None;
@@ -78,19 +78,19 @@
                 finish(grpc::Status::OK);
             }
             if (finished_) {
-                return; // A request that came after the end is not run; the status says so.
+                return; // A request received after the stream was finished is not run; the status tells the caller.
             }
             busy_ = true;
             transaction = transaction_;
         }
-        server_.ask(incoming_, transaction, this);
+        server_.submit(incoming_, transaction, this);
     }
 
-    void give(v1::ExecuteAnswer answer) override
+    void sendAnswer(v1::ExecuteAnswer answer) override
     {
         const std::scoped_lock lock(mutex_);
         if (finished_) {
-            return; // Cut off meanwhile.
+            return; // The stream was cut off meanwhile.
         }
         if (answer.answer().transaction() != 0) {
             abandonTransaction();
@@ -141,19 +141,19 @@
     {
         const std::scoped_lock lock(mutex_);
         closing_ = true;
-        if (!writing_) { // Else the end of the write finishes the stream.
+        if (!writing_) { // Otherwise OnWriteDone() finishes the stream.
             finish(grpc::Status(grpc::StatusCode::UNAVAILABLE, "the proxy ended"));
         }
     }
 
     void OnDone() override
     {
-        server_.forget(this);
+        server_.removeSession(this);
         delete this;
     }
 
 private:
-    /** Tells the caller that a request which it sent and which was not answered did not run. */
+    /** Returns the status that tells the caller that its unanswered requests were not run. */
     static grpc::Status closed()
     {
         return {grpc::StatusCode::ABORTED, "the proxy is shutting down; nothing unanswered was run"};
@@ -162,7 +162,7 @@
     void abandonTransaction()
     {
         if (transaction_ != TransactionId(0)) {
-            server_.events_.post(CallerGone{transaction_}); // Without effect if it has ended.
+            server_.events_.post(CallerGone{transaction_}); // Has no effect if the transaction has ended.
         }
     }
 
@@ -178,11 +178,11 @@
     CallerServer &server_;
     v1::ExecuteRequest incoming_;
     v1::ExecuteAnswer outgoing_;
-    std::mutex mutex_; ///< Guards what follows. The server's mutex is not taken under it.
-    TransactionId transaction_; ///< Opened last on this stream; may have ended.
+    std::mutex mutex_; ///< Guards the members below. The server's mutex must not be locked while this one is held.
+    TransactionId transaction_; ///< Last transaction opened on this stream; may have ended.
     bool busy_ = false; ///< From the arrival of a request until its answer is written.
     bool writing_ = false; ///< An answer is being written.
-    bool cancelled_ = false; ///< The caller is gone.
+    bool cancelled_ = false; ///< The caller has cancelled the stream or is lost.
     bool closing_ = false;
     bool finished_ = false;
 };
@@ -196,11 +196,11 @@
 {
     grpc::ServerUnaryReactor *reactor = context->DefaultReactor();
     const v1::RequestKind kind = request->request().kind();
-    auto *caller = new UnaryCaller(reactor, answer); // Deletes itself with its answer.
+    auto *caller = new UnaryCaller(reactor, answer); // Deletes itself when it is answered.
     if (kind == v1::REQUEST_KIND_BEGIN) {
-        caller->give(refusal(*request, ErrorKind::BadRequest)); // Its transaction would have no end.
+        caller->sendAnswer(refusal(*request, ErrorKind::BadRequest)); // No later request could end the transaction.
     } else {
-        ask(*request, TransactionId(0), caller);
+        submit(*request, TransactionId(0), caller);
     }
     return reactor;
 }
@@ -220,25 +220,25 @@
     return session;
 }
 
-void CallerServer::ask(const v1::ExecuteRequest &request, TransactionId transaction, WaitingCaller *caller)
+void CallerServer::submit(const v1::ExecuteRequest &request, TransactionId transaction, WaitingCaller *caller)
 {
     Wire::CallerRequest decoded = Wire::decodeCallerRequest(request);
     if (decoded.refusal_ == ErrorKind::None) {
-        decoded.refusal_ = misuse(decoded.request_, transaction);
+        decoded.refusal_ = validate(decoded.request_, transaction);
     }
     if (decoded.refusal_ != ErrorKind::None) {
-        caller->give(refusal(request, decoded.refusal_));
+        caller->sendAnswer(refusal(request, decoded.refusal_));
         return;
     }
-    const std::optional<RequestId> id = expect(caller);
+    const std::optional<RequestId> id = registerCaller(caller);
     if (!id) {
-        caller->give(refusal(request, ErrorKind::Draining));
+        caller->sendAnswer(refusal(request, ErrorKind::Draining));
         return;
     }
     events_.post(CallerAsked{*id, std::move(decoded.request_)});
 }
 
-std::optional<RequestId> CallerServer::expect(WaitingCaller *caller)
+std::optional<RequestId> CallerServer::registerCaller(WaitingCaller *caller)
 {
     const RequestId id(nextId_.fetch_add(1, std::memory_order_relaxed));
     const std::scoped_lock lock(mutex_);
@@ -261,7 +261,7 @@
         caller = found->second;
         waiting_.erase(found);
     }
-    caller->give(Wire::encodeCallerAnswer(answer));
+    caller->sendAnswer(Wire::encodeCallerAnswer(answer));
 }
 
 void CallerServer::close()
@@ -287,7 +287,7 @@
     }
 }
 
-void CallerServer::forget(SessionStream *session)
+void CallerServer::removeSession(SessionStream *session)
 {
     const std::scoped_lock lock(mutex_);
     sessions_.erase(session);
--- a/src/CallerServer.h
+++ b/src/CallerServer.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines the service that takes callers' requests and gives each its one answer.
+ * Defines the service that receives callers' requests and answers each exactly once.
  */
 #pragma once
 
@@ -20,13 +20,13 @@
 {
 public:
     virtual ~WaitingCaller() = default;
-    /** Gives the answer; called once. */
-    virtual void give(v1::ExecuteAnswer answer) = 0;
-    /** The process ends without an answer; called in place of give(). */
+    /** Sends the answer. Called at most once. */
+    virtual void sendAnswer(v1::ExecuteAnswer answer) = 0;
+    /** Ends the call without an answer because the process ends. Called instead of sendAnswer(). */
     virtual void cutOff() = 0;
 };
 
-/** Takes requests until it is closed. */
+/** Accepts requests until it is closed. */
 class CallerServer : public v1::Caller::CallbackService, public CallerPort
 {
 public:
@@ -35,23 +35,23 @@
     grpc::ServerBidiReactor<v1::ExecuteRequest, v1::ExecuteAnswer> *Session(grpc::CallbackServerContext *context) override;
     void answer(RequestId id, Answer answer) override;
 
-    /** The proxy has drained: requests from now on are refused as Draining, and idle sessions are ended. */
+    /** Called once the proxy has drained: refuses further requests with Draining and ends idle sessions. */
     void close();
-    /** The process dies: requests that wait get no answer, and sessions are ended. */
+    /** Called when the process ends abruptly: ends pending requests without an answer, and all sessions. */
     void cutOff();
 
 private:
     class SessionStream;
 
-    /** Posts \p request on behalf of \p caller, or refuses it at once. \p transaction is the one that the caller may use. */
-    void ask(const v1::ExecuteRequest &request, TransactionId transaction, WaitingCaller *caller);
-    /** Registers a caller, if the server is open. */
-    std::optional<RequestId> expect(WaitingCaller *caller);
-    void forget(SessionStream *session);
+    /** Posts \p request on behalf of \p caller, or refuses it immediately. \p transaction is the transaction that the caller may use. */
+    void submit(const v1::ExecuteRequest &request, TransactionId transaction, WaitingCaller *caller);
+    /** Registers a caller that waits for an answer. Returns nothing if the server is closed. */
+    std::optional<RequestId> registerCaller(WaitingCaller *caller);
+    void removeSession(SessionStream *session);
 
     EventSink &events_;
     std::atomic<std::uint64_t> nextId_ = 1;
-    std::mutex mutex_; ///< Guards what follows.
+    std::mutex mutex_; ///< Guards the members below.
     absl::flat_hash_map<RequestId, WaitingCaller *> waiting_;
     absl::flat_hash_set<SessionStream *> sessions_;
     bool closed_ = false;
--- a/src/PeerLinks.cpp
+++ b/src/PeerLinks.cpp
@@ -7,14 +7,14 @@
 
 namespace {
 
-/** A batch takes no further message once it has this many bytes; with one more message it is still far below the receiver's limit. */
-constexpr std::size_t batchBytes = std::size_t{256} << 10U;
-/** Bytes that may wait for a proxy that does not read. Beyond it counts as lost, or it would take this process's memory with it. */
-constexpr std::size_t backlogBytes = std::size_t{32} << 20U;
+/** Size at which a batch accepts no further message. With one more message it is still far below the receiver's limit. */
+constexpr std::size_t batchByteLimit = std::size_t{256} << 10U;
+/** Limit on the bytes queued for a proxy that does not read. Above it the proxy counts as lost; otherwise the queue would exhaust this process's memory. */
+constexpr std::size_t backlogByteLimit = std::size_t{32} << 20U;
 
 } // namespace
 
-/** The stream to one proxy. It holds itself until the stream has ended. */
+/** The stream to one proxy. Owns a reference to itself until the stream has ended. */
 class PeerLinks::Link : public grpc::ClientBidiReactor<v1::PeerBatch, v1::PeerBatch>
 {
 public:
@@ -32,7 +32,7 @@
         }
         link->self_ = link;
         link->stub_->async()->Connect(&link->context_, link.get());
-        link->AddHold(); // Writes start outside of callbacks; the hold keeps the stream for them until its reads fail.
+        link->AddHold(); // Writes start outside of callbacks; the hold keeps the stream alive for them until a read fails.
         link->writable_ = true;
         link->StartRead(&link->incoming_);
         link->StartCall();
@@ -45,14 +45,14 @@
         const std::size_t bytes = encoded.ByteSizeLong();
         const std::scoped_lock lock(mutex_);
         if (!writable_) {
-            return; // PeerLost is under way and covers it.
+            return; // The pending PeerLost event reports the loss of this message too.
         }
-        if (backlog_ + bytes > backlogBytes) {
+        if (backlog_ + bytes > backlogByteLimit) {
             context_.TryCancel();
             return;
         }
         backlog_ += bytes;
-        if (v1::PeerBatch *tail = outgoing_.tail(); tail != nullptr && tailBytes_ < batchBytes) {
+        if (v1::PeerBatch *tail = outgoing_.tail(); tail != nullptr && tailBytes_ < batchByteLimit) {
             tailBytes_ += bytes;
             *tail->add_messages() = std::move(encoded);
             return;
@@ -63,7 +63,7 @@
         writeNext(outgoing_.push(std::move(batch)));
     }
 
-    /** Ends the stream after the messages that wait. */
+    /** Ends the stream once all queued messages are written. */
     void finish()
     {
         const std::scoped_lock lock(mutex_);
@@ -78,7 +78,7 @@
         const std::scoped_lock lock(mutex_);
         backlog_ -= std::min(backlog_, writing_);
         if (!ok) {
-            return; // The stream ends.
+            return; // The stream has failed; OnDone() reports it.
         }
         writeNext(outgoing_.pop());
         if (finishing_ && outgoing_.empty()) {
@@ -89,7 +89,7 @@
     void OnReadDone(bool ok) override
     {
         if (ok) {
-            StartRead(&incoming_); // The other side sends nothing here; a later version may.
+            StartRead(&incoming_); // The receiver sends nothing on this stream, but a later version may.
             return;
         }
         {
@@ -121,10 +121,10 @@
     grpc::ClientContext context_;
     std::shared_ptr<Link> self_;
     v1::PeerBatch incoming_;
-    std::mutex mutex_; ///< Guards what follows.
+    std::mutex mutex_; ///< Guards the members below.
     WriteQueue<v1::PeerBatch> outgoing_;
-    std::size_t tailBytes_ = 0; ///< Of the last batch.
-    std::size_t writing_ = 0; ///< Bytes of the write under way.
+    std::size_t tailBytes_ = 0; ///< Bytes of the last batch in the queue.
+    std::size_t writing_ = 0; ///< Bytes of the write in flight.
     std::size_t backlog_ = 0; ///< Bytes not written yet.
     bool writable_ = false;
     bool finishing_ = false;
--- a/src/PeerLinks.h
+++ b/src/PeerLinks.h
@@ -13,7 +13,7 @@
 
 namespace Figward {
 
-/** The streams to other proxies, one for each address, opened by the first message and again after a failure. */
+/** The streams to other proxies, one for each address, opened by the first message and reopened by the first message after a failure. */
 class PeerLinks : public PeerPort
 {
 public:
@@ -23,7 +23,7 @@
     ~PeerLinks() override;
     void send(const std::string &address, const PeerMessage &message) override;
     void forget(const std::string &address) override;
-    /** Ends all streams after the messages that wait, for at most \p grace. Only once the loop has stopped. */
+    /** Ends all streams once their queued messages are written, and waits for this for at most \p grace. Must be called only after the loop has stopped. */
     void finish(std::chrono::milliseconds grace);
 
 private:
@@ -31,7 +31,7 @@
 
     ChannelPool &channels_;
     EventSink &events_;
-    absl::flat_hash_map<std::string, std::shared_ptr<Link>> links_; ///< Used by the loop's thread only.
+    absl::flat_hash_map<std::string, std::shared_ptr<Link>> links_; ///< Used only by the event loop's thread.
     Rundown rundown_;
 };
 
--- a/src/PeerServer.cpp
+++ b/src/PeerServer.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-/** One stream from another proxy; deletes itself when it has ended, as reactors do. */
+/** A stream from another proxy. Deletes itself when the stream has ended. */
 class IncomingStream : public grpc::ServerBidiReactor<v1::PeerBatch, v1::PeerBatch>
 {
 public:
--- a/src/PeerServer.h
+++ b/src/PeerServer.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines the service that takes messages from other proxies.
+ * Defines the service that receives messages from other proxies.
  */
 #pragma once
 
@@ -10,7 +10,7 @@
 
 namespace Figward {
 
-/** Posts each message as PeerReceived. A stream that carries anything malformed is ended. */
+/** Posts each message as PeerReceived. Ends a stream on which a malformed message arrives. */
 class PeerServer : public v1::Peer::CallbackService
 {
 public:
--- a/src/PlatformLink.cpp
+++ b/src/PlatformLink.cpp
@@ -7,14 +7,14 @@
 
 namespace {
 
-/** The platform ends a watch this share of its timeout early, so that the answer is not lost. */
-constexpr int watchReserve = 10;
+/** The platform is asked to end a watch early by one part in this many of its timeout, so that the answer arrives in time. */
+constexpr int watchReserveDivisor = 10;
 
 /**
- * How a call that brought no answer has ended. A put may have reached the platform before the connection broke, and gRPC does not
- * say: it counts as lost, for the caller would otherwise take an update that took effect for one that did not.
+ * Returns the status of a call that failed without an answer. A put may have reached the platform before the connection broke, and gRPC does not
+ * say whether it did. It counts as lost; otherwise an update that took effect would be mistaken for one that did not.
  */
-PlatformStatus failureOf(const PlatformBody &body, const grpc::Status &status)
+PlatformStatus statusOfFailedCall(const PlatformBody &body, const grpc::Status &status)
 {
     const bool changes = std::holds_alternative<PutObject>(body);
     return status.error_code() == grpc::StatusCode::UNAVAILABLE && !changes ? PlatformStatus::Unavailable : PlatformStatus::Lost;
@@ -65,7 +65,7 @@
             answer = Wire::decode(call->call_.id_, std::move(call->reply_));
         }
         if (!answer.ok()) {
-            answer = PlatformAnswer{call->call_.id_, failureOf(call->call_.body_, status), {}, {}, {}};
+            answer = PlatformAnswer{call->call_.id_, statusOfFailedCall(call->call_.body_, status), {}, {}, {}};
         }
         events_.post(PlatformAnswered{*std::move(answer)});
         rundown_.leave(call->context_);
@@ -93,7 +93,7 @@
     const auto watch = std::make_shared<Call<v1::WatchRequest, v1::ObjectAnswer>>(call);
     watch->request_.set_path(body.path_);
     watch->request_.set_after_version(body.after_.value());
-    watch->request_.set_wait_us(Wire::encodeDuration(call.timeout_ - call.timeout_ / watchReserve));
+    watch->request_.set_wait_us(Wire::encodeDuration(call.timeout_ - call.timeout_ / watchReserveDivisor));
     run(watch, [this](auto &&...arguments) { stub_->async()->Watch(std::forward<decltype(arguments)>(arguments)...); });
 }
 
--- a/src/PlatformLink.h
+++ b/src/PlatformLink.h
@@ -12,7 +12,7 @@
 
 namespace Figward {
 
-/** Calls the platform. Every call is answered, at the latest soon after its timeout. */
+/** Calls the platform. Every call is answered, at the latest shortly after its timeout. */
 class PlatformLink : public PlatformPort
 {
 public:
--- a/src/Rundown.h
+++ b/src/Rundown.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines Rundown, which lets the owner of asynchronous calls wait until the last of them has ended.
+ * Defines Rundown, which lets the owner of asynchronous calls wait until all of them have ended.
  */
 #pragma once
 
@@ -12,13 +12,13 @@
 namespace Figward {
 
 /**
- * The client calls of one adapter that are under way. A gRPC callback may come at any time until its call has ended; an adapter that went away
- * before that would be used after its end. Its destructor therefore calls cancelAndWait(). Thread-safe.
+ * The client calls of one adapter that are in flight. A gRPC callback may run at any time until its call has ended, and would use the adapter after its
+ * destruction. The destructor of the adapter therefore calls cancelAndWait(). Thread-safe.
  */
 class Rundown
 {
 public:
-    /** Registers a call before it starts; false when the adapter is ending and the call must not start. */
+    /** Registers a call before it starts. Returns false if the adapter is being destroyed and the call must not start. */
     [[nodiscard]] bool enter(grpc::ClientContext &call)
     {
         const std::scoped_lock lock(mutex_);
@@ -29,7 +29,7 @@
         return true;
     }
 
-    /** The call has ended: the last thing that its callback does with the adapter. */
+    /** Unregisters a call that has ended. Must be the callback's last use of the adapter. */
     void leave(grpc::ClientContext &call)
     {
         const std::scoped_lock lock(mutex_);
@@ -37,14 +37,14 @@
         empty_.notify_all();
     }
 
-    /** Returns when all calls have ended, or after \p limit. Not from a gRPC callback. */
+    /** Waits until all calls have ended, for at most \p limit. Must not be called from a gRPC callback. */
     void waitFor(std::chrono::milliseconds limit)
     {
         std::unique_lock lock(mutex_);
         empty_.wait_for(lock, limit, [this] { return calls_.empty(); });
     }
 
-    /** Cancels all calls, lets no new one start and returns when all have ended. Not from a gRPC callback. */
+    /** Cancels all calls, prevents new ones and waits until all have ended. Must not be called from a gRPC callback. */
     void cancelAndWait()
     {
         std::unique_lock lock(mutex_);
--- a/src/UpstreamLinks.cpp
+++ b/src/UpstreamLinks.cpp
@@ -5,7 +5,7 @@
 
 namespace Figward {
 
-/** One connection. It holds itself until its stream has ended. */
+/** A connection. Owns a reference to itself until its stream has ended. */
 class UpstreamLinks::Link : public grpc::ClientBidiReactor<v1::ConnectionRequest, v1::ConnectionAnswer>
 {
 public:
@@ -22,7 +22,7 @@
         }
         link->self_ = link;
         stub.async()->Connect(&link->context_, link.get());
-        link->AddHold(); // Writes start outside of callbacks; the hold keeps the stream for them until its reads fail.
+        link->AddHold(); // Writes start outside of callbacks; the hold keeps the stream alive for them until a read fails.
         v1::ConnectionRequest open;
         open.mutable_open()->set_member(member.value());
         link->write(std::move(open));
@@ -34,14 +34,14 @@
     {
         const std::scoped_lock lock(mutex_);
         if (!writable_) {
-            return; // The event that says so is under way.
+            return; // The pending ConnectionLost event reports the failure.
         }
         if (const v1::ConnectionRequest *next = outgoing_.push(std::move(request))) {
             StartWrite(next);
         }
     }
 
-    /** After this no event of the connection is posted any more. */
+    /** Closes the connection. No further event of it is posted. */
     void close()
     {
         {
@@ -55,7 +55,7 @@
     {
         const std::scoped_lock lock(mutex_);
         if (!ok) {
-            return; // The stream ends; OnDone() tells why.
+            return; // The stream has failed; OnDone() reports why.
         }
         if (const v1::ConnectionRequest *next = outgoing_.pop()) {
             StartWrite(next);
@@ -64,7 +64,7 @@
 
     void OnReadDone(bool ok) override
     {
-        if (ok && takeIn(incoming_)) {
+        if (ok && handleMessage(incoming_)) {
             startRead();
             return;
         }
@@ -72,13 +72,13 @@
             const std::scoped_lock lock(mutex_);
             writable_ = false;
         }
-        context_.TryCancel(); // If what came was not the protocol; OnDone() reports the connection as lost.
+        context_.TryCancel(); // Ends the stream after an invalid message; OnDone() reports the connection as lost.
         RemoveHold();
     }
 
     void OnDone(const grpc::Status &status) override
     {
-        post(ConnectionLost{id_, endOf(status)});
+        post(ConnectionLost{id_, connectionEndFor(status)});
         const std::shared_ptr<Link> self = std::move(self_);
         owner_.rundown_.leave(context_);
     }
@@ -89,7 +89,7 @@
         StartRead(&incoming_);
     }
 
-    bool takeIn(const v1::ConnectionAnswer &message)
+    bool handleMessage(const v1::ConnectionAnswer &message)
     {
         if (message.has_opened() && !opened_) {
             opened_ = true;
@@ -104,7 +104,7 @@
         return true;
     }
 
-    [[nodiscard]] ConnectionEnd endOf(const grpc::Status &status) const
+    [[nodiscard]] ConnectionEnd connectionEndFor(const grpc::Status &status) const
     {
         if (opened_) {
             return ConnectionEnd::Closed;
@@ -125,8 +125,8 @@
     grpc::ClientContext context_;
     std::shared_ptr<Link> self_;
     v1::ConnectionAnswer incoming_;
-    bool opened_ = false; ///< Used by the stream's callbacks only, which come one after another.
-    std::mutex mutex_; ///< Guards what follows.
+    bool opened_ = false; ///< Used only by the stream's callbacks, which run one at a time.
+    std::mutex mutex_; ///< Guards the members below.
     WriteQueue<v1::ConnectionRequest> outgoing_;
     bool writable_ = true;
     bool closed_ = false;
@@ -172,7 +172,7 @@
 {
     const auto found = links_.find(effect.connection_);
     if (found == links_.end()) {
-        return; // It was closed; the core knows.
+        return; // The core has closed the connection itself and expects no answer.
     }
     v1::ConnectionRequest request;
     Wire::encode(effect.statement_, *request.mutable_statement());
--- a/src/UpstreamLinks.h
+++ b/src/UpstreamLinks.h
@@ -34,7 +34,7 @@
     ChannelPool &channels_;
     EventSink &events_;
     std::map<std::string, std::unique_ptr<v1::Upstream::Stub>> stubs_;
-    absl::flat_hash_map<ConnectionId, std::shared_ptr<Link>> links_; ///< Used by the loop's thread only.
+    absl::flat_hash_map<ConnectionId, std::shared_ptr<Link>> links_; ///< Used only by the event loop's thread.
     Rundown rundown_;
 };
 
--- a/src/VmRegistration.cpp
+++ b/src/VmRegistration.cpp
@@ -71,7 +71,7 @@
     Wire::encode(vm, *request.mutable_vm());
     request.set_gone(gone);
     v1::RegisterVmAnswer reply;
-    // Without consequence if it fails: the next one comes within a second.
+    // A failure is ignored, because the next registration follows within a second.
     stub_->RegisterVm(&context, request, &reply);
 }
 
--- a/src/VmRegistration.h
+++ b/src/VmRegistration.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines how a proxy makes itself known to the platform's stand-in, which has no VMs of its own to list.
+ * Defines how a proxy registers with the platform's stand-in, which has no VMs of its own to list.
  */
 #pragma once
 
@@ -14,7 +14,7 @@
 
 namespace Figward {
 
-/** Registers a VM once a second, so that the stand-in notices when its process has gone. A real platform answers that it knows no such call. */
+/** Registers a VM once a second, so that the stand-in detects when its process has ended. A real platform rejects the call as unimplemented. */
 class VmRegistration
 {
 public:
@@ -22,9 +22,9 @@
     VmRegistration(const VmRegistration &) = delete;
     VmRegistration &operator=(const VmRegistration &) = delete;
     ~VmRegistration();
-    /** From now on the VM is listed as leaving. */
+    /** Makes the stand-in list the VM as leaving from now on. */
     void leave();
-    /** The VM ends in good order and is taken off the list at once. */
+    /** Called at an orderly end of the VM: removes it from the list immediately. */
     void end();
 
 private:
@@ -32,10 +32,10 @@
     void registerOnce(const VmInfo &vm, bool gone);
 
     std::unique_ptr<v1::Platform::Stub> stub_;
-    std::mutex mutex_; ///< Guards what follows.
+    std::mutex mutex_; ///< Guards the members below.
     std::condition_variable changed_;
     VmInfo vm_;
-    bool stale_ = true; ///< The stand-in has not been told of the last change.
+    bool stale_ = true; ///< The last change has not been sent to the stand-in.
     bool ending_ = false;
     std::thread thread_;
 };
