--- a/test/correctness/MessagesSurviveTheWire.cpp
+++ b/test/correctness/MessagesSurviveTheWire.cpp
@@ -1,5 +1,5 @@
 /** \file
- * Shows that what is encoded for another process is decoded there as it was.
+ * Checks that messages to other processes are unchanged by encoding and decoding.
  */
 #include "WirePeer.h"
 #include "WirePlatform.h"
@@ -94,7 +94,7 @@
     EXPECT_EQ(names.value_count(), static_cast<int>(ErrorKind::NoSuchTransaction) + 1);
 }
 
-/** One message of each kind, every field set; the wire form of a message shows all its fields. */
+/** Returns one message of each kind with every field set. The test compares their encoded forms, which contain all fields. */
 std::vector<PeerBody> everyPeerBody()
 {
     const VmInfo vm{VmId(3), ZoneId("z1"), "10.0.0.3:7000", true};
--- a/test/correctness/TlsBetweenProcesses.cpp
+++ b/test/correctness/TlsBetweenProcesses.cpp
@@ -1,5 +1,6 @@
 /** \file
- * Shows that proxies with certificates serve callers who trust them, work with each other, and turn away whoever speaks plain text or shows no certificate.
+ * Checks that proxies with certificates serve callers that trust them, communicate with each other, and reject callers in plain text and peers without a
+ * certificate.
  */
 #include "support/LoopbackFleet.h"
 
--- a/test/error/CertificatesAreUnusable.cpp
+++ b/test/error/CertificatesAreUnusable.cpp
@@ -1,5 +1,5 @@
-// The settings name certificate files that are empty, or hold something else. A proxy that started nevertheless would turn away all callers, or worse,
-// speak plain text. It must refuse to start with an error, and listen nowhere.
+// The settings name certificate files that are empty or contain something else. A proxy that started with them would refuse all callers, or even accept
+// plain-text connections. It must refuse to start, with an error, and must not listen on any port.
 #include "support/LoopbackFleet.h"
 
 #include <gmock/gmock.h>
--- a/test/error/MalformedMessagesAreRefused.cpp
+++ b/test/error/MalformedMessagesAreRefused.cpp
@@ -1,6 +1,6 @@
-// A caller, or a process of another version, sends a message that has the right shape but not a meaning: an unknown enum value, a
-// token that no proxy made, a time of 500,000 years. Nothing of it may reach the reducer, where it would pass for a request that was checked;
-// the sender learns that its request was not run.
+// A caller, or a process of another version, sends a message that can be parsed but has invalid contents: an unknown enum value, a token that
+// no proxy issued, a duration of 500,000 years. It must not reach the reducer, which takes every request as validated; the sender is told that its
+// request was not run.
 #include "WirePeer.h"
 #include "WirePlatform.h"
 #include "WireRequest.h"
