--- a/src/EventLoop.cpp
+++ b/src/EventLoop.cpp
@@ -40,7 +40,7 @@
     state_.identity_.self_.address_ = address;
     boost::asio::post(context_, [this] {
         take(Started{});
-        turn(); // What was posted before.
+        turn(); // Processes the events posted before start().
     });
     {
         const std::scoped_lock lock(mutex_);
@@ -172,7 +172,7 @@
 
 void EventLoop::perform(const ArmWakeUp &effect)
 {
-    wakeUp_.expires_after(effect.at_ - readClock()); // Cancels the wait before.
+    wakeUp_.expires_after(effect.at_ - readClock()); // Cancels the previous wait.
     wakeUp_.async_wait([this](const boost::system::error_code &error) {
         if (!error) {
             take(WakeUp{});
--- a/src/EventLoop.h
+++ b/src/EventLoop.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines the event loop of a proxy: one thread that takes events in batches, reduces them, and runs their effects.
+ * Defines the event loop of a proxy: one thread that takes events in batches, passes them to the reducer, and executes the resulting effects.
  */
 #pragma once
 
@@ -17,7 +17,7 @@
 
 namespace Figward {
 
-/** Where effects go. All must outlive the loop's thread. A port whose effects do not occur in this process may be null. */
+/** The ports that execute effects. All must outlive the loop's thread. A port whose effects do not occur in this process may be null. */
 struct Ports
 {
     CallerPort *callers_ = nullptr;
@@ -29,11 +29,11 @@
     Metrics *metrics_ = nullptr;
 };
 
-/** Runs one reducer. Events may be posted before start() and after stop(); the latter are dropped. */
+/** Runs one reducer. Events may be posted before start(); those posted after stop() are dropped. */
 class EventLoop : public EventSink
 {
 public:
-    /** A step on the loop's thread beside the events, such as one that a test wants to see the state in. */
+    /** A function to run on the loop's thread between events, for example to let a test inspect the state. */
     using Step = std::function<void(ProxyState &, Time, Effects &)>;
 
     explicit EventLoop(ProxyState state);
@@ -41,16 +41,16 @@
     EventLoop &operator=(const EventLoop &) = delete;
     ~EventLoop() override;
 
-    /** Starts the thread with the event Started. \p address is where other proxies reach this one. */
+    /** Starts the thread with the event Started. \p address is the address at which other proxies reach this one. */
     void start(Ports ports, const std::string &address);
     void post(EventBody event) override;
-    /** Runs \p step between events and returns when its effects have been run. Not from the loop's thread. */
+    /** Runs \p step between events and returns once its effects have been executed. Must not be called from the loop's thread. */
     void run(Step step);
-    /** Ends the thread after the event that it is at. */
+    /** Stops the thread once it has finished the current handler. */
     void stop();
-    /** Waits until the reducer has ended the process, or the loop is stopped; true in the first case. */
+    /** Waits until the reducer requests the exit of the process or the loop is stopped. Returns true in the first case. */
     bool awaitExit();
-    /** Adapters that run their I/O here need no thread of their own. */
+    /** The I/O context of the loop's thread, for adapters that run their I/O on it instead of on a thread of their own. */
     boost::asio::io_context &context();
 
 private:
@@ -74,9 +74,9 @@
     boost::asio::io_context context_{1};
     boost::asio::executor_work_guard<boost::asio::io_context::executor_type> work_;
     boost::asio::steady_timer wakeUp_;
-    std::vector<EventBody> batch_; ///< Being taken in; used by the loop's thread only.
+    std::vector<EventBody> batch_; ///< The events being processed; used by the loop's thread only.
     std::uint64_t turns_ = 0;
-    std::mutex mutex_; ///< Guards what follows.
+    std::mutex mutex_; ///< Guards pending_, started_, exited_ and stopped_.
     std::condition_variable ended_;
     std::vector<EventBody> pending_;
     bool started_ = false;
--- a/src/Metrics.cpp
+++ b/src/Metrics.cpp
@@ -56,7 +56,7 @@
         requests_[outcome] = &requests.Add({{"outcome", std::string(toString(static_cast<Outcome>(outcome)))}});
     }
     prometheus::Family<prometheus::Counter> &failures = BuildCounter().Name("figward_errors_total").Help("Answers by error").Register(*registry_);
-    for (std::size_t error = 1; error < errors; ++error) { // Without None.
+    for (std::size_t error = 1; error < errors; ++error) { // Skips ErrorKind::None.
         errors_[error] = &failures.Add({{"error", std::string(toString(static_cast<ErrorKind>(error)))}});
     }
     prometheus::Family<prometheus::Counter> &events = BuildCounter().Name("figward_events_total").Help("Events taken").Register(*registry_);
@@ -67,10 +67,10 @@
 
 absl::Status Metrics::expose(const std::string &address)
 {
-    constexpr std::size_t threads = 1; // One reader every few seconds.
+    constexpr std::size_t threads = 1; // One thread suffices: the metrics are scraped once every few seconds.
     try {
         exposer_ = std::make_unique<prometheus::Exposer>(address, threads);
-    } catch (const std::exception &) { // The library reports a port in use so.
+    } catch (const std::exception &) { // The library throws if the port is in use.
         return absl::UnavailableError(absl::StrCat("cannot serve metrics at ", address));
     }
     exposer_->RegisterCollectable(registry_);
--- a/src/Metrics.h
+++ b/src/Metrics.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines what a proxy counts for its operators, derived from the events that it takes and the effects that come of them.
+ * Defines the metrics of a proxy, derived from the events that it processes and the effects that they produce.
  */
 #pragma once
 
@@ -19,18 +19,18 @@
 
 struct ProxyState;
 
-/** The counters of one proxy. observe() is for one thread; readers may be others. */
+/** The metrics of one proxy. observe() must be called from one thread only; other threads may read the registry. */
 class Metrics
 {
 public:
     Metrics();
-    /** Serves the metrics at \p address, "host:port". Unavailable if the port cannot be bound. */
+    /** Serves the metrics at \p address, "host:port". Returns Unavailable if the port cannot be bound. */
     absl::Status expose(const std::string &address);
     void observe(const Event &event);
     void observe(const Effect &effect);
-    /** Takes the gauges from \p state; called now and then, not for each event. */
+    /** Updates the gauges from \p state. Called periodically, not for each event. */
     void observe(const ProxyState &state, Time now);
-    /** Takes the number of log lines that were dropped since the start. */
+    /** Sets the gauge of log lines dropped since the start. */
     void observeDroppedLines(std::uint64_t lines);
     [[nodiscard]] const prometheus::Registry &registry() const;
 
@@ -54,7 +54,7 @@
     prometheus::Gauge *requestsUnderWay_;
     prometheus::Gauge *configurationVersion_;
     prometheus::Gauge *droppedLines_;
-    std::unique_ptr<SessionMetrics> sessions_; ///< Once the process serves sessions.
+    std::unique_ptr<SessionMetrics> sessions_; ///< Null until the process serves sessions.
     std::unique_ptr<prometheus::Exposer> exposer_;
 };
 
--- a/src/SessionMetrics.cpp
+++ b/src/SessionMetrics.cpp
@@ -12,11 +12,11 @@
 using prometheus::BuildGauge;
 using prometheus::BuildHistogram;
 
-/** From a quick read within a zone to the longest time-out of a route, in seconds. */
+/** Histogram bounds in seconds, from a fast read within a zone to the longest timeout of a route. */
 const prometheus::Histogram::BucketBoundaries boundaries{0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4};
 
-/** A VM that was silent for longer does not count as heard. */
-constexpr Duration heardLately = std::chrono::seconds(1);
+/** A VM whose last message is older than this is not counted in figward_vms_heard. */
+constexpr Duration vmHeardWindow = std::chrono::seconds(1);
 
 double seconds(Duration duration)
 {
@@ -36,7 +36,7 @@
     return "unknown";
 }
 
-/** Names of the alternatives of StoreRequest. */
+/** Returns the metric label for the alternative that \p request holds. */
 std::string callName(const StoreRequest &request)
 {
     return std::visit(Overloaded{
@@ -194,7 +194,7 @@
     configurationBehind_.Set(seconds(timeBehind(state, now).value_or(Duration(0))));
     membersAge_.Set(seconds(now - state.schedule_.directoryCheck_.askedAt_.value_or(state.startedAt_)));
     const auto heard = std::ranges::count_if(
-        state.peers_, [&](const auto &entry) { return entry.second.lastReceivedAt_ && now - *entry.second.lastReceivedAt_ < heardLately; });
+        state.peers_, [&](const auto &entry) { return entry.second.lastReceivedAt_ && now - *entry.second.lastReceivedAt_ < vmHeardWindow; });
     vmsHeard_.Set(static_cast<double>(heard));
 }
 
--- a/src/SessionMetrics.h
+++ b/src/SessionMetrics.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines what is counted of database sessions: their statements by route and outcome, where time goes, and how old what they rest on is.
+ * Defines the metrics of database sessions: statements by route and outcome, time spent per stage, and the age of the data that routing relies on.
  */
 #pragma once
 
@@ -16,18 +16,18 @@
 
 namespace Figward {
 
-/** The counters of one process that serves sessions. For one thread; readers of the registry may be others. */
+/** The metrics of one process that serves sessions. Must be updated from one thread only; other threads may read the registry. */
 class SessionMetrics
 {
 public:
     explicit SessionMetrics(prometheus::Registry &registry);
     void observe(const SessionEvent &event);
     void observe(const SessionEffect &effect);
-    /** Takes the gauges from \p state. */
+    /** Updates the gauges from \p state. */
     void observe(const SessionServiceState &state, Time now);
 
 private:
-    /** Where the time of a statement goes. */
+    /** The stages that a statement's time is measured for. */
     enum class Stage {
         Total,
         Waiting,
@@ -57,13 +57,13 @@
     prometheus::Gauge &membersAge_;
     prometheus::Gauge &vmsHeard_;
     prometheus::Gauge &ready_;
-    // Looked up for each statement: finding them by their labels would cost some microseconds each time.
+    // Caches of metrics that every statement updates: a look-up by labels would cost some microseconds each time.
     static constexpr std::size_t routes = 3;
     static constexpr std::size_t stages = 3;
     static constexpr std::size_t codes = static_cast<std::size_t>(ReplyCode::Other) + 1;
     std::array<std::array<prometheus::Histogram *, stages>, routes> timesByRoute_{};
     std::array<std::array<std::array<prometheus::Counter *, codes>, 2>, routes> statementsByRoute_{};
-    std::map<MemberId, std::array<prometheus::Gauge *, 2>> members_; ///< In use and idle, of the members that are known.
+    std::map<MemberId, std::array<prometheus::Gauge *, 2>> members_; ///< Connections in use and idle, for each known member.
     std::map<ServiceId, prometheus::Gauge *> groups_;
 };
 
--- a/src/Signals.cpp
+++ b/src/Signals.cpp
@@ -29,15 +29,15 @@
 
 void Signals::wait()
 {
-    std::promise<void> came;
+    std::promise<void> received;
     bool first = true;
     start([&] {
         if (first) {
             first = false;
-            came.set_value();
+            received.set_value();
         }
     });
-    came.get_future().wait();
+    received.get_future().wait();
     context_.stop();
     thread_.join();
 }
--- a/src/Signals.h
+++ b/src/Signals.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines Signals, which turns signals such as SIGTERM and SIGINT into calls on a thread of its own.
+ * Defines Signals, which handles signals such as SIGTERM and SIGINT by calling a handler on a separate thread.
  */
 #pragma once
 
@@ -12,7 +12,7 @@
 
 namespace Figward {
 
-/** Takes the signals from its construction to its end, when their former handling returns. */
+/** Handles the signals during its lifetime. The destructor restores their previous handling. */
 class Signals
 {
 public:
@@ -20,9 +20,9 @@
     Signals(const Signals &) = delete;
     Signals &operator=(const Signals &) = delete;
     ~Signals();
-    /** Calls \p handler for each signal, also for one that came before. */
+    /** Calls \p handler for each signal, including one received before this call. */
     void start(std::function<void()> handler);
-    /** Returns when a signal has come. In place of start(). */
+    /** Blocks until a signal is received. Use instead of start(). */
     void wait();
 
 private:
