--- a/src/CallerClient.cpp
+++ b/src/CallerClient.cpp
@@ -6,12 +6,12 @@
 
 namespace {
 
-/** The proxy answers by the request's timeout; only a proxy that is lost lets this pass as well. */
+/** Added to the request's timeout, within which a working proxy answers; this expires too only if the proxy is lost. */
 constexpr Duration answerGrace = std::chrono::milliseconds(500);
 
 /**
- * A channel without the keepalive that links between processes have. A caller's thread reads its socket only while it waits for an answer: a stream that
- * is idle for some seconds, with its transaction, would be closed by its own side for a reply to a ping that lies unread.
+ * Opens a channel without the keepalive that links between processes have. A caller's thread reads its socket only while it waits for an answer, so
+ * the client would leave the reply to a ping unread and close a stream, with its transaction, that is idle for a few seconds.
  */
 std::shared_ptr<grpc::Channel> openCallerChannel(const std::string &address, const std::optional<TlsMaterial> &tls)
 {
@@ -19,7 +19,7 @@
     grpc::ChannelArguments arguments;
     arguments.SetMaxReceiveMessageSize(messageLimit);
     arguments.SetInt(GRPC_ARG_MAX_RECONNECT_BACKOFF_MS, longestReconnectMillis);
-    arguments.SetInt(GRPC_ARG_USE_LOCAL_SUBCHANNEL_POOL, 1); // Clients of one process share no sockets.
+    arguments.SetInt(GRPC_ARG_USE_LOCAL_SUBCHANNEL_POOL, 1); // Clients in one process do not share connections.
     return grpc::CreateCustomChannel(address, clientCredentials(tls), arguments);
 }
 
@@ -63,7 +63,7 @@
     ended_ = true;
     const grpc::Status status = stream_->Finish();
     if (status.error_code() == grpc::StatusCode::ABORTED) {
-        Answer refused = notRun(ErrorKind::Draining); // The proxy says so of what it did not answer.
+        Answer refused = notRun(ErrorKind::Draining); // A draining proxy ends the stream with this status if it did not run the request.
         refused.token_ = request.token_;
         return refused;
     }
--- a/src/CallerClient.h
+++ b/src/CallerClient.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines a caller's library: it sends requests to one proxy and returns their answers.
+ * Defines the client library for callers, which sends requests to a proxy and returns the answers.
  */
 #pragma once
 
@@ -14,8 +14,8 @@
 namespace Figward {
 
 /**
- * What became of a request at the client's end. An error status means that no answer came: the request may or may not have run, and the same
- * idempotency key asks again safely through any proxy.
+ * The result of a request as the client sees it. An error status means that no answer was received: the request may or may not have run, and it can
+ * be retried safely through any proxy with the same idempotency key.
  */
 using ClientResult = absl::StatusOr<Answer>;
 
@@ -28,7 +28,7 @@
     CallerStream &operator=(const CallerStream &) = delete;
     /** Ends the stream; an open transaction is rolled back. */
     ~CallerStream();
-    /** Sends a request and waits for its answer. After an error the stream is of no more use. */
+    /** Sends a request and waits for its answer. After an error the stream can no longer be used. */
     ClientResult execute(const Request &request);
 
 private:
@@ -52,21 +52,21 @@
     std::unique_ptr<v1::Caller::Stub> stub_;
 };
 
-/** What a session keeps between its requests, whichever proxies it asks: its keys and its token. */
+/** The state that a session keeps between requests, to whichever proxies they go: its idempotency keys and its token. */
 class CallerSession
 {
 public:
     CallerSession(ServiceId service, SessionId id);
     [[nodiscard]] Request read(const GroupId &group, std::string body) const;
-    /** A write or commit with a fresh key; send the same request again to ask what became of it. */
+    /** Builds a write or commit with a new key. To learn its outcome after an error, send the same request again. */
     Request keyed(RequestKind kind, const GroupId &group, std::string body);
-    /** A step without a key of its own: BEGIN, ROLLBACK, or a write inside a transaction. */
+    /** Builds a request without an idempotency key: BEGIN, ROLLBACK, or a write inside a transaction. */
     [[nodiscard]] Request step(RequestKind kind, const GroupId &group, std::string body) const;
-    /** Takes in the token of an answer. */
+    /** Merges the token of \p answer into the session's token. */
     void take(const Answer &answer);
     [[nodiscard]] const SessionToken &token() const;
 
-    Duration timeout_ = std::chrono::seconds(2); ///< Of the requests to come.
+    Duration timeout_ = std::chrono::seconds(2); ///< Timeout set in subsequent requests.
 
 private:
     ServiceId service_;
--- a/src/EventLoop.cpp
+++ b/src/EventLoop.cpp
@@ -12,7 +12,7 @@
 
 constexpr std::uint64_t turnsBetweenGauges = 64;
 
-/** Goes on while the VM is suspended, as the steady clock does not: a lease that ran out meanwhile must be seen to have run out. */
+/** Reads a clock that, unlike the steady clock, advances while the VM is suspended, so that a lease that expired in the meantime is seen as expired. */
 Time readClock()
 {
     timespec now{};
--- a/src/PlatformCaller.h
+++ b/src/PlatformCaller.h
@@ -9,16 +9,16 @@
 
 namespace Figward {
 
-/** Makes one call at a time. */
+/** Makes one call at a time; not thread-safe. */
 class PlatformCaller
 {
 public:
     explicit PlatformCaller(const std::string &address);
-    /** Calls the platform and waits for the answer, which always comes: Lost soon after \p timeout if nothing else. */
+    /** Calls the platform and waits for the answer. Always returns: if no answer arrives, the result is Lost shortly after \p timeout. */
     PlatformAnswer call(PlatformBody body, Duration timeout);
 
 private:
-    /** Hands the one answer to who waits for it. */
+    /** Passes the answer of the current call to the waiting thread. */
     class Mailbox : public EventSink
     {
     public:
--- a/src/Protocol.h
+++ b/src/Protocol.h
@@ -3,7 +3,7 @@
  */
 #pragma once
 
-// NOLINTNEXTLINE(readability-identifier-naming): a package of protobuf, whose style is lower case.
+// NOLINTNEXTLINE(readability-identifier-naming): protobuf packages are lower case.
 namespace figward::v1 {
 }
 
--- a/src/ProxyProcess.cpp
+++ b/src/ProxyProcess.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-/** Time that answers which have been given have to reach their callers before connections are closed. */
+/** Time allowed for answers already sent to reach their callers before connections are closed. */
 constexpr std::chrono::milliseconds closingGrace(2000);
 
 std::uint64_t randomNumber()
@@ -16,8 +16,8 @@
     return (std::uint64_t(device()) << 32U) | device();
 }
 
-/** Ends a server, if it was started; calls that are under way have \p grace to end. */
-void shut(ListeningServer &listening, std::chrono::milliseconds grace)
+/** Shuts down a server if it was started, allowing \p grace for calls in flight to complete. */
+void shutDown(ListeningServer &listening, std::chrono::milliseconds grace)
 {
     if (listening.server_) {
         listening.server_->Shutdown(std::chrono::system_clock::now() + grace);
@@ -41,7 +41,7 @@
 {
     vm_.id_ = options_.id_ == VmId(0) ? VmId(randomNumber()) : options_.id_;
     vm_.zone_ = options_.zone_;
-    // The peer address is known only once it is bound; nothing arrives before that.
+    // The address in vm_ is still empty: it is known only once the port is bound, and no event arrives before that.
     ProxyIdentity identity{vm_, options_.seeds_};
     loop_ = std::make_unique<EventLoop>(makeProxyState(identity, options_.seed_.value_or(randomNumber())));
     callers_ = std::make_unique<CallerServer>(*loop_);
@@ -94,12 +94,12 @@
     if (!loop_ || !loop_->awaitExit()) {
         return;
     }
-    // From here on nothing is in flight. What still arrives is refused as not run, so that each request gets its answer.
+    // Nothing is in flight from here on. Requests that still arrive are refused as not run, so that each one gets an answer.
     callers_->close();
-    shut(callerServer_, closingGrace);
+    shutDown(callerServer_, closingGrace);
     loop_->stop();
-    peerLinks_->finish(closingGrace); // The last answers to other proxies.
-    shut(peerServer_, std::chrono::milliseconds(0));
+    peerLinks_->finish(closingGrace); // Delivers the last answers to other proxies.
+    shutDown(peerServer_, std::chrono::milliseconds(0));
     registration_->end();
     releaseLinks();
 }
@@ -111,8 +111,8 @@
     }
     loop_->stop();
     callers_->cutOff();
-    shut(callerServer_, std::chrono::milliseconds(0));
-    shut(peerServer_, std::chrono::milliseconds(0));
+    shutDown(callerServer_, std::chrono::milliseconds(0));
+    shutDown(peerServer_, std::chrono::milliseconds(0));
     releaseLinks();
 }
 
--- a/src/ProxyProcess.h
+++ b/src/ProxyProcess.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines a whole proxy: servers, links, event loop and metrics round one reducer. Any number of them may run in one process.
+ * Defines a complete proxy: the servers, links, event loop and metrics around one reducer. One process may run any number of proxies.
  */
 #pragma once
 
@@ -20,24 +20,23 @@
 
 namespace Figward {
 
-/** What a proxy is started with. Addresses are "host:port"; port 0 takes a free one. */
+/** Start-up options of a proxy. Addresses are "host:port"; port 0 selects a free port. */
 struct ProxyOptions
 {
-    VmId id_; ///< Zero: one is chosen at random, as befits a new incarnation.
+    VmId id_; ///< Zero: chosen at random, so that each incarnation has a new id.
     ZoneId zone_;
     std::string callerAddress_ = "127.0.0.1:0";
     std::string peerAddress_ = "127.0.0.1:0";
-    std::string advertisedAddress_; ///< Where other proxies reach this one; empty: where it listens for them.
+    std::string advertisedAddress_; ///< The address at which other proxies reach this one; empty: the peer address it listens on.
     std::string platformAddress_;
-    std::string metricsAddress_; ///< Empty: none are served.
+    std::string metricsAddress_; ///< Empty: metrics are not served.
     std::vector<std::string> seeds_; ///< Peer addresses of proxies to ask when the platform cannot be reached.
-    std::optional<TlsMaterial> callerTls_; ///< What callers are met with.
-    std::optional<TlsMaterial> peerTls_; ///< Between proxies; both sides show certificates.
-    std::optional<std::uint64_t> seed_; ///< Of the reducer's randomness; without it, random.
+    std::optional<TlsMaterial> callerTls_; ///< TLS for connections from callers.
+    std::optional<TlsMaterial> peerTls_; ///< Mutual TLS between proxies; both sides present certificates.
+    std::optional<std::uint64_t> seed_; ///< Seed of the reducer's random numbers; chosen at random if not set.
     std::shared_ptr<LogPort> log_;
 };
 
-/** One proxy. */
 class ProxyProcess
 {
 public:
@@ -47,21 +46,21 @@
     /** Kills the proxy if it still runs. */
     ~ProxyProcess();
 
-    /** Listens and begins to work. Unavailable if an address cannot be bound; the process then holds nothing. */
+    /** Starts listening and serving. Returns Unavailable if an address cannot be bound; all resources are then released. */
     absl::Status start();
-    /** Asks for a graceful shutdown and returns at once. */
+    /** Requests a graceful shutdown and returns immediately. */
     void drain();
-    /** Waits for the end of a graceful shutdown and closes everything. */
+    /** Waits for a graceful shutdown to complete, then closes the servers and links. */
     void awaitExit();
-    /** Ends at once, as a crash would: callers get no answers. */
+    /** Stops immediately, as in a crash: callers get no answers. */
     void kill();
 
-    /** Where callers reach the proxy. */
+    /** The address at which callers reach the proxy. */
     [[nodiscard]] const std::string &callerAddress() const;
-    /** The proxy as other proxies know it. */
+    /** The identity of the proxy towards other proxies. */
     [[nodiscard]] const VmInfo &vm() const;
     [[nodiscard]] const Metrics &metrics() const;
-    /** Runs \p step on the loop's thread, between events. The proxy must run. */
+    /** Runs \p step on the loop's thread, between events. The proxy must be running. */
     void run(const EventLoop::Step &step);
 
 private:
@@ -72,7 +71,7 @@
     VmInfo vm_;
     Metrics metrics_;
     std::string callerAddress_;
-    // The loop outlives the links, which post into it to their end.
+    // Declared before the links so that it outlives them: they post events to it until they are destroyed.
     std::unique_ptr<EventLoop> loop_;
     std::unique_ptr<CallerServer> callers_;
     std::unique_ptr<PeerServer> peers_;
--- a/src/ShellPorts.h
+++ b/src/ShellPorts.h
@@ -1,7 +1,7 @@
 /** \file
  * Defines the interfaces between the event loop of a proxy and the adapters that do its I/O.
  *
- * The loop calls the ports from its one thread; none of them blocks. What comes of a call returns through EventSink, from any thread.
+ * The loop calls the ports from its one thread; none of them blocks. The results of a call return through EventSink, from any thread.
  */
 #pragma once
 
@@ -10,7 +10,7 @@
 
 namespace Figward {
 
-/** Takes what has happened. Thread-safe. */
+/** Accepts events for the loop. Thread-safe. */
 class EventSink
 {
 public:
@@ -21,7 +21,7 @@
     virtual void post(EventBody event) = 0;
 };
 
-/** Gives callers their answers. */
+/** Delivers answers to callers. */
 class CallerPort
 {
 public:
@@ -29,17 +29,17 @@
     virtual void answer(RequestId id, Answer answer) = 0;
 };
 
-/** Sends messages to other proxies; a failure returns as PeerLost. */
+/** Sends messages to other proxies; a failure is reported as PeerLost. */
 class PeerPort
 {
 public:
     virtual ~PeerPort() = default;
     virtual void send(const std::string &address, const PeerMessage &message) = 0;
-    /** The loop has taken in PeerLost of \p address: the next message needs a new stream. */
+    /** Called when the loop has processed PeerLost for \p address: the next message to it needs a new stream. */
     virtual void forget(const std::string &address) = 0;
 };
 
-/** Holds connections to upstreams. */
+/** Manages connections to upstreams. */
 class UpstreamPort
 {
 public:
@@ -50,7 +50,7 @@
     virtual void control(const SendControl &effect) = 0;
 };
 
-/** Calls the platform; each call is answered by one PlatformAnswered. */
+/** Calls the platform; each call produces exactly one PlatformAnswered. */
 class PlatformPort
 {
 public:
@@ -58,7 +58,7 @@
     virtual void call(const PlatformCall &call) = 0;
 };
 
-/** Carries out what sessions, and the proxies that serve them, ask for. */
+/** Executes the effects of sessions and of the proxies that serve them. */
 class SessionPort
 {
 public:
@@ -72,7 +72,7 @@
 public:
     virtual ~LogPort() = default;
     virtual void write(LogNumber number, const std::vector<LogField> &fields) = 0;
-    /** Lines that were not written, to keep the volume bounded. */
+    /** The number of lines dropped to bound the volume of the log. */
     [[nodiscard]] virtual std::uint64_t droppedLines() const
     {
         return 0;
