--- a/src/EventLoop.cpp
+++ b/src/EventLoop.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr std::uint64_t turnsBetweenGauges = 64;
+constexpr std::uint64_t batchesBetweenGaugeUpdates = 64;
 
 /** Reads a clock that, unlike the steady clock, advances while the VM is suspended, so that a lease that expired in the meantime is seen as expired. */
 Time readClock()
@@ -39,8 +39,8 @@
     ports_ = ports;
     state_.identity_.self_.address_ = address;
     boost::asio::post(context_, [this] {
-        take(Started{});
-        turn(); // Processes the events posted before start().
+        process(Started{});
+        processBatch(); // Processes the events posted before start().
     });
     {
         const std::scoped_lock lock(mutex_);
@@ -58,7 +58,7 @@
         pending_.push_back(std::move(event));
     }
     if (first) {
-        boost::asio::post(context_, [this] { turn(); });
+        boost::asio::post(context_, [this] { processBatch(); });
     }
 }
 
@@ -99,23 +99,23 @@
     return context_;
 }
 
-void EventLoop::turn()
+void EventLoop::processBatch()
 {
     {
         const std::scoped_lock lock(mutex_);
         batch_.swap(pending_);
     }
     for (EventBody &body : batch_) {
-        take(std::move(body));
+        process(std::move(body));
     }
     batch_.clear();
-    if (turns_++ % turnsBetweenGauges == 0) {
+    if (batchCount_++ % batchesBetweenGaugeUpdates == 0) {
         ports_.metrics_->observe(state_, readClock());
         ports_.metrics_->observeDroppedLines(ports_.log_->droppedLines());
     }
 }
 
-void EventLoop::take(EventBody body)
+void EventLoop::process(EventBody body)
 {
     const Event event{readClock(), std::move(body)};
     ports_.metrics_->observe(event);
@@ -175,7 +175,7 @@
     wakeUp_.expires_after(effect.at_ - readClock()); // Cancels the previous wait.
     wakeUp_.async_wait([this](const boost::system::error_code &error) {
         if (!error) {
-            take(WakeUp{});
+            process(WakeUp{});
         }
     });
 }
--- a/src/EventLoop.h
+++ b/src/EventLoop.h
@@ -54,8 +54,8 @@
     boost::asio::io_context &context();
 
 private:
-    void turn();
-    void take(EventBody body);
+    void processBatch();
+    void process(EventBody body);
     void perform(Effects effects);
     void perform(AnswerCaller &effect);
     void perform(const SendPeer &effect);
@@ -75,7 +75,7 @@
     boost::asio::executor_work_guard<boost::asio::io_context::executor_type> work_;
     boost::asio::steady_timer wakeUp_;
     std::vector<EventBody> batch_; ///< The events being processed; used by the loop's thread only.
-    std::uint64_t turns_ = 0;
+    std::uint64_t batchCount_ = 0;
     std::mutex mutex_; ///< Guards pending_, started_, exited_ and stopped_.
     std::condition_variable ended_;
     std::vector<EventBody> pending_;
--- a/src/Metrics.cpp
+++ b/src/Metrics.cpp
@@ -47,7 +47,7 @@
     , controlCalls_(&counter(*registry_, "figward_control_calls_total", "Control calls to upstreams"))
     , connections_(&gauge(*registry_, "figward_upstream_connections", "Connections to upstreams, those being opened included"))
     , queued_(&gauge(*registry_, "figward_queued_requests", "Requests that wait for a connection"))
-    , requestsUnderWay_(&gauge(*registry_, "figward_requests_under_way", "Callers' requests that are not answered yet"))
+    , requestsInFlight_(&gauge(*registry_, "figward_requests_under_way", "Callers' requests that are not answered yet"))
     , configurationVersion_(&gauge(*registry_, "figward_configuration_version", "Version of the configuration in force"))
     , droppedLines_(&gauge(*registry_, "figward_log_lines_dropped", "Log lines not written since the start, to keep the volume bounded"))
 {
@@ -138,7 +138,7 @@
     }
     connections_->Set(static_cast<double>(connections));
     queued_->Set(static_cast<double>(queued));
-    requestsUnderWay_->Set(static_cast<double>(state.entry_.requests_.size()));
+    requestsInFlight_->Set(static_cast<double>(state.entry_.requests_.size()));
     configurationVersion_->Set(static_cast<double>(state.configuration_.version_.value()));
 }
 
--- a/src/Metrics.h
+++ b/src/Metrics.h
@@ -51,7 +51,7 @@
     prometheus::Counter *controlCalls_;
     prometheus::Gauge *connections_;
     prometheus::Gauge *queued_;
-    prometheus::Gauge *requestsUnderWay_;
+    prometheus::Gauge *requestsInFlight_;
     prometheus::Gauge *configurationVersion_;
     prometheus::Gauge *droppedLines_;
     std::unique_ptr<SessionMetrics> sessions_; ///< Null until the process serves sessions.
--- a/src/ProxyProcess.cpp
+++ b/src/ProxyProcess.cpp
@@ -71,10 +71,10 @@
     }
     peerServer_ = *std::move(peerServer);
     vm_.address_ = options_.advertisedAddress_.empty() ? peerServer_.address_ : options_.advertisedAddress_;
-    const bool asksCallers = options_.callerTls_ && !options_.callerTls_->rootCertificates_.empty();
-    const ClientCertificate asked = asksCallers ? ClientCertificate::Required : ClientCertificate::NotAsked;
+    const bool verifiesCallers = options_.callerTls_ && !options_.callerTls_->rootCertificates_.empty();
+    const ClientCertificate clientCertificate = verifiesCallers ? ClientCertificate::Required : ClientCertificate::NotAsked;
     absl::StatusOr<ListeningServer> callerServer =
-        listen(options_.callerAddress_, serverCredentials(options_.callerTls_, asked), *callers_, callerMessageLimit);
+        listen(options_.callerAddress_, serverCredentials(options_.callerTls_, clientCertificate), *callers_, callerMessageLimit);
     if (!callerServer.ok()) {
         return callerServer.status();
     }
--- a/src/SessionMetrics.cpp
+++ b/src/SessionMetrics.cpp
@@ -72,7 +72,7 @@
     , memberConnections_(BuildGauge().Name("figward_member_connections").Help("Connections to members, in use or idle").Register(registry))
     , authority_(BuildGauge().Name("figward_authority_seconds").Help("How much longer the group's primary may be used; zero: not").Register(registry))
     , replicaReads_(counter(registry, "figward_statements_by_replicas_total", "Statements that a replica ran"))
-    , tries_(counter(registry, "figward_statement_retries_total", "Further tries of statements"))
+    , retries_(counter(registry, "figward_statement_retries_total", "Further tries of statements"))
     , sessions_(gauge(registry, "figward_sessions", "Sessions that are open"))
     , waiting_(gauge(registry, "figward_statements_waiting", "Statements that wait for a connection"))
     , configurationVersion_(gauge(registry, "figward_session_configuration_version", "Version of the configuration in force"))
@@ -135,7 +135,7 @@
         replicaReads_.Increment();
     }
     if (ended.attempts_ > 1) {
-        tries_.Increment(ended.attempts_ - 1);
+        retries_.Increment(ended.attempts_ - 1);
     }
 }
 
--- a/src/SessionMetrics.h
+++ b/src/SessionMetrics.h
@@ -48,7 +48,7 @@
     prometheus::Family<prometheus::Gauge> &memberConnections_;
     prometheus::Family<prometheus::Gauge> &authority_;
     prometheus::Counter &replicaReads_;
-    prometheus::Counter &tries_;
+    prometheus::Counter &retries_;
     prometheus::Gauge &sessions_;
     prometheus::Gauge &waiting_;
     prometheus::Gauge &configurationVersion_;
--- a/src/Signals.cpp
+++ b/src/Signals.cpp
@@ -23,7 +23,7 @@
 void Signals::start(std::function<void()> handler)
 {
     handler_ = std::move(handler);
-    await();
+    waitForNext();
     thread_ = std::thread([this] { context_.run(); });
 }
 
@@ -42,12 +42,12 @@
     thread_.join();
 }
 
-void Signals::await()
+void Signals::waitForNext()
 {
     set_.async_wait([this](const boost::system::error_code &error, int) {
         if (!error) {
             handler_();
-            await();
+            waitForNext();
         }
     });
 }
--- a/src/Signals.h
+++ b/src/Signals.h
@@ -26,7 +26,7 @@
     void wait();
 
 private:
-    void await();
+    void waitForNext();
 
     boost::asio::io_context context_{1};
     boost::asio::signal_set set_;
--- a/test/correctness/RollingRestartCutsNothing.cpp
+++ b/test/correctness/RollingRestartCutsNothing.cpp
@@ -1,6 +1,6 @@
-// All proxies of a fleet are replaced one after another while callers write. A caller that is told 'not run, draining' asks
-// another proxy, as behind the platform's balancer. No request that a proxy took may end without its answer: a stream that breaks, or an outcome that
-// stays unknown, would be a request cut in flight.
+// All proxies of a fleet are replaced one after another while callers write. A caller that receives 'not run, draining' retries at another proxy, as
+// it would behind the platform's load balancer. Guards against a draining proxy that drops requests in flight: a request that a proxy accepted must not
+// end with a broken stream or an unknown outcome.
 #include "support/LoopbackFleet.h"
 
 #include <gmock/gmock.h>
@@ -11,15 +11,15 @@
 
 namespace {
 
-/** Where callers find the proxies at present, as a balancer knows it. */
+/** The current addresses of the proxies, as a load balancer would know them. */
 class Balancer
 {
 public:
-    void set(std::size_t place, const std::string &address)
+    void set(std::size_t index, const std::string &address)
     {
         const std::scoped_lock lock(mutex_);
-        addresses_.resize(std::max(addresses_.size(), place + 1));
-        addresses_[place] = address;
+        addresses_.resize(std::max(addresses_.size(), index + 1));
+        addresses_[index] = address;
     }
 
     std::string pick(std::size_t number)
@@ -34,34 +34,34 @@
     std::vector<std::string> addresses_;
 };
 
-/** What one caller met. */
-struct Tally
+/** The results that one caller saw. */
+struct CallerCounts
 {
     std::atomic<int> done_ = 0;
-    std::atomic<int> cut_ = 0; ///< Requests without an answer, or with an unknown outcome.
+    std::atomic<int> unanswered_ = 0; ///< Requests without an answer, or with an unknown outcome.
 };
 
-/** Whether the request never left its sender: the proxy that the balancer named had ended by then. gRPC says so in words only. */
+/** Whether the request was never sent because the proxy chosen by the balancer had already stopped. gRPC reports this only in the message text. */
 bool neverSent(const ClientResult &result)
 {
     return !result.ok() && result.status().message().find("failed to connect") != absl::string_view::npos;
 }
 
-/** Writes, each time through another proxy; a write is asked again with the same key until it is done. */
-void keepWriting(Balancer &balancer, const std::string &counter, const std::atomic<bool> &stop, Tally &tally)
+/** Writes repeatedly, using another proxy for each attempt. A write is retried with the same key until it is done or its key is cancelled. */
+void keepWriting(Balancer &balancer, const std::string &counter, const std::atomic<bool> &stop, CallerCounts &count)
 {
     CallerSession session = LoopbackFleet::session();
-    std::size_t turn = 0;
+    std::size_t attempt = 0;
     while (!stop) {
         const Request write = session.keyed(RequestKind::Write, LoopbackFleet::groupId(), "add " + counter + " 1");
         const bool settled = eventually([&] {
-            CallerClient client(balancer.pick(turn++));
+            CallerClient client(balancer.pick(attempt++));
             const ClientResult result = client.execute(write);
             const bool answered = result.ok() && result->outcome_ != Outcome::Unknown;
             const bool done = answered && result->outcome_ == Outcome::Done;
-            tally.cut_ += answered || neverSent(result) ? 0 : 1;
-            tally.done_ += done ? 1 : 0;
-            // A key that was cancelled did not run, and never will: the next round asks anew.
+            count.unanswered_ += answered || neverSent(result) ? 0 : 1;
+            count.done_ += done ? 1 : 0;
+            // A write whose key was cancelled did not run and never will: the next iteration uses a new key.
             return done || (answered && result->error_ == ErrorKind::KeyCancelled);
         });
         EXPECT_TRUE(settled);
@@ -78,18 +78,18 @@
     }
     constexpr std::size_t callerCount = 4;
     std::atomic<bool> stop = false;
-    std::array<Tally, callerCount> tallies;
+    std::array<CallerCounts, callerCount> counts;
     std::vector<std::thread> callers;
     for (std::size_t i = 0; i < callerCount; ++i) {
-        callers.emplace_back([&, i] { keepWriting(balancer, "c" + std::to_string(i), stop, tallies.at(i)); });
+        callers.emplace_back([&, i] { keepWriting(balancer, "c" + std::to_string(i), stop, counts.at(i)); });
     }
     for (std::size_t i = 0; i < zones.size(); ++i) {
         balancer.set(i, "");
         fleet.replace(i, zones.at(i));
         balancer.set(i, fleet.proxy(i).callerAddress());
         std::array<int, callerCount> before{};
-        std::ranges::transform(tallies, before.begin(), [](const Tally &tally) { return tally.done_.load(); });
-        EXPECT_TRUE(eventually([&] { return std::ranges::equal(tallies, before, [](const Tally &tally, int past) { return tally.done_ > past; }); }));
+        std::ranges::transform(counts, before.begin(), [](const CallerCounts &count) { return count.done_.load(); });
+        EXPECT_TRUE(eventually([&] { return std::ranges::equal(counts, before, [](const CallerCounts &count, int past) { return count.done_ > past; }); }));
     }
     stop = true;
     for (std::thread &caller : callers) {
@@ -97,10 +97,10 @@
     }
     CallerClient client(fleet.proxy(0).callerAddress());
     for (std::size_t i = 0; i < callerCount; ++i) {
-        EXPECT_EQ(tallies.at(i).cut_, 0);
+        EXPECT_EQ(counts.at(i).unanswered_, 0);
         const ClientResult read = client.execute(LoopbackFleet::session().read(LoopbackFleet::groupId(), "get c" + std::to_string(i)));
         ASSERT_TRUE(read.ok());
-        EXPECT_EQ(read->body_, std::to_string(tallies.at(i).done_));
+        EXPECT_EQ(read->body_, std::to_string(counts.at(i).done_));
     }
 }
 
--- a/test/correctness/StatementsCrossProcesses.cpp
+++ b/test/correctness/StatementsCrossProcesses.cpp
@@ -1,5 +1,5 @@
 /** \file
- * Shows the whole path over loopback: caller, entry proxy, owner proxy, upstream, and back.
+ * Tests the complete path of a statement over loopback: caller, entry proxy, owner proxy, upstream, and back.
  */
 #include "support/LoopbackFleet.h"
 
--- a/test/error/PlatformDownAtTheStart.cpp
+++ b/test/error/PlatformDownAtTheStart.cpp
@@ -1,5 +1,5 @@
-// A proxy starts while the platform is away. Callers are told 'not run', at once and with the reason, and the proxy neither ends nor stays in
-// this state: when the platform returns it is served without being started again.
+// A proxy starts while the platform is unavailable. It must answer callers 'not run' at once, with the reason, and must not exit. Once the platform is
+// available again, the proxy must serve requests without a restart.
 #include "support/LoopbackFleet.h"
 
 #include <gmock/gmock.h>
--- a/test/error/PrimaryLostOverLoopback.cpp
+++ b/test/error/PrimaryLostOverLoopback.cpp
@@ -1,5 +1,5 @@
-// The primary's process dies while callers write through three proxies. Callers see writes stall and then go on at another member, which
-// the proxies fenced and promoted with no word from the platform. What was acknowledged before, and while the primary went, is there and there once.
+// The primary's process dies while callers write through three proxies. Writes stall and then continue at another member, which the proxies fence and
+// promote without involving the platform. Guards against writes that are lost or applied twice if they are acknowledged before or during the failover.
 #include "support/LoopbackFleet.h"
 
 #include <gmock/gmock.h>
@@ -8,16 +8,16 @@
 
 namespace {
 
-/** Adds one to the counter until it is done; how often a fresh key was needed does not matter, since a cancelled one never runs. */
+/** Adds one to the counter, retrying until it is done. Any number of new keys may be needed, since a write whose key was cancelled never runs. */
 void addOne(CallerClient &client, CallerSession &session)
 {
     EXPECT_TRUE(eventually([&] {
         const Request write = session.keyed(RequestKind::Write, LoopbackFleet::groupId(), "add rotations 1");
         ClientResult result = client.execute(write);
-        const auto open = [&] { return !result.ok() || (result->outcome_ != Outcome::Done && result->error_ != ErrorKind::KeyCancelled); };
+        const auto undecided = [&] { return !result.ok() || (result->outcome_ != Outcome::Done && result->error_ != ErrorKind::KeyCancelled); };
         EXPECT_TRUE(eventually([&] {
-            result = open() ? client.execute(write) : result;
-            return !open();
+            result = undecided() ? client.execute(write) : result;
+            return !undecided();
         }));
         return result.ok() && result->outcome_ == Outcome::Done;
     }));
@@ -30,13 +30,13 @@
         fleet.addProxy(zone);
     }
     CallerSession session = LoopbackFleet::session();
-    constexpr int writesEachSide = 20;
+    constexpr int writesPerPhase = 20;
     std::vector<std::unique_ptr<CallerClient>> clients;
     for (std::size_t i = 0; i < fleet.size(); ++i) {
         clients.push_back(std::make_unique<CallerClient>(fleet.proxy(i).callerAddress()));
     }
-    for (int i = 0; i < 2 * writesEachSide; ++i) {
-        if (i == writesEachSide) {
+    for (int i = 0; i < 2 * writesPerPhase; ++i) {
+        if (i == writesPerPhase) {
             fleet.group().run([](Standin::GroupModel &group, Time now) { group.kill(0, true, now); });
         }
         addOne(*clients[static_cast<std::size_t>(i) % clients.size()], session);
@@ -44,7 +44,7 @@
     EXPECT_TRUE(fleet.log().has(LogNumber::PrimaryPromoted));
     const ClientResult read = clients.front()->execute(session.read(LoopbackFleet::groupId(), "get rotations"));
     ASSERT_TRUE(read.ok());
-    EXPECT_EQ(read->body_, std::to_string(2 * writesEachSide));
+    EXPECT_EQ(read->body_, std::to_string(2 * writesPerPhase));
 }
 
 } // namespace
--- a/test/error/ProxyDiesUnderLoad.cpp
+++ b/test/error/ProxyDiesUnderLoad.cpp
@@ -1,6 +1,6 @@
-// Three proxies serve callers; one dies without a word while requests are on their way through it. Callers of the others
-// may be told 'not run' or wait for a retry, but each gets one answer, and none of its acknowledged writes is missing or doubled: what the dead
-// owner may have run is found by its idempotency key.
+// Three proxies serve callers; one crashes while requests are in flight through it. Callers of the others may receive 'not run' or wait for a retry, but
+// each request gets one answer, and no acknowledged write is lost or applied twice: the idempotency key shows whether the crashed owner had already run
+// a write.
 #include "support/LoopbackFleet.h"
 
 #include <gmock/gmock.h>
@@ -12,14 +12,14 @@
 
 constexpr int sessions = 4;
 
-/** Adds one to a counter of its own again and again, each time until it is done, through one proxy. */
+/** Repeatedly adds one to the caller's own counter through one proxy, retrying each write until it is done or its key is cancelled. */
 void keepCounting(const std::string &address, const std::string &counter, const std::atomic<bool> &stop, std::atomic<int> &count)
 {
     CallerClient client(address);
     CallerSession session = LoopbackFleet::session();
     while (!stop) {
         const Request write = session.keyed(RequestKind::Write, LoopbackFleet::groupId(), "add " + counter + " 1");
-        // A key that was cancelled did not run, and never will: the next round asks anew.
+        // A write whose key was cancelled did not run and never will: the next iteration uses a new key.
         const bool settled = eventually([&] {
             const ClientResult result = client.execute(write);
             const bool done = result.ok() && result->outcome_ == Outcome::Done;
@@ -46,9 +46,9 @@
     const auto allReach = [&](int wanted) { return eventually([&] { return std::ranges::all_of(counts, [&](const auto &c) { return c >= wanted; }); }); };
     EXPECT_TRUE(allReach(10));
     fleet.proxy(2).kill();
-    std::array<int, sessions> atDeath{};
-    std::ranges::transform(counts, atDeath.begin(), [](const auto &c) { return c.load(); });
-    EXPECT_TRUE(eventually([&] { return std::ranges::equal(counts, atDeath, [](const auto &now, int before) { return now >= before + 10; }); }));
+    std::array<int, sessions> countsAtCrash{};
+    std::ranges::transform(counts, countsAtCrash.begin(), [](const auto &c) { return c.load(); });
+    EXPECT_TRUE(eventually([&] { return std::ranges::equal(counts, countsAtCrash, [](const auto &now, int before) { return now >= before + 10; }); }));
     stop = true;
     for (std::thread &caller : callers) {
         caller.join();
--- a/test/error/ProxyMeetsBadInput.cpp
+++ b/test/error/ProxyMeetsBadInput.cpp
@@ -1,5 +1,5 @@
-// Whatever reaches a proxy's port from outside - bytes that are no HTTP/2, a message above the limit, a token that no proxy made, the transaction of
-// another caller - may cost its sender an error and nothing else: the next caller is served as before.
+// Invalid input at a proxy's ports - bytes that are not HTTP/2, a message above the size limit, a token that no proxy issued, the transaction of another
+// caller - must only cause an error for its sender. The next caller must be served as before.
 #include "support/LoopbackFleet.h"
 
 #include <boost/asio/connect.hpp>
