--- a/src/CallerClient.cpp
+++ b/src/CallerClient.cpp
@@ -11,7 +11,7 @@
 
 /**
  * Opens a channel without the keepalive that links between processes have. A caller's thread reads its socket only while it waits for an answer, so
- * the client would leave the reply to a ping unread and close a stream, with its transaction, that is idle for a few seconds.
+ * with keepalive the client would leave the reply to a ping unread and close a stream, with its transaction, that is idle for a few seconds.
  */
 std::shared_ptr<grpc::Channel> openCallerChannel(const std::string &address, const std::optional<TlsMaterial> &tls)
 {
--- a/src/EventLoop.h
+++ b/src/EventLoop.h
@@ -41,7 +41,7 @@
     EventLoop &operator=(const EventLoop &) = delete;
     ~EventLoop() override;
 
-    /** Starts the thread with the event Started. \p address is the address at which other proxies reach this one. */
+    /** Starts the thread, which processes the event Started first. \p address is the address at which other proxies reach this one. */
     void start(Ports ports, const std::string &address);
     void post(EventBody event) override;
     /** Runs \p step between events and returns once its effects have been executed. Must not be called from the loop's thread. */
