--- a/src/EventLoop.cpp
+++ b/src/EventLoop.cpp
@@ -10,9 +10,9 @@
 
 namespace {
 
-constexpr std::uint64_t turnsBetweenGauges = 64;
+constexpr std::uint64_t batchesBetweenGaugeUpdates = 64;
 
-/** Goes on while the VM is suspended, as the steady clock does not: a lease that ran out meanwhile must be seen to have run out. */
+/** Reads a clock that, unlike the steady clock, advances while the VM is suspended, so that a lease that expired in the meantime is seen as expired. */
 Time readClock()
 {
     timespec now{};
@@ -39,8 +39,8 @@
     ports_ = ports;
     state_.identity_.self_.address_ = address;
     boost::asio::post(context_, [this] {
-        take(Started{});
-        turn(); // What was posted before.
+        process(Started{});
+        processBatch(); // Processes the events posted before start().
     });
     {
         const std::scoped_lock lock(mutex_);
@@ -58,7 +58,7 @@
         pending_.push_back(std::move(event));
     }
     if (first) {
-        boost::asio::post(context_, [this] { turn(); });
+        boost::asio::post(context_, [this] { processBatch(); });
     }
 }
 
@@ -99,23 +99,23 @@
     return context_;
 }
 
-void EventLoop::turn()
+void EventLoop::processBatch()
 {
     {
         const std::scoped_lock lock(mutex_);
         batch_.swap(pending_);
     }
     for (EventBody &body : batch_) {
-        take(std::move(body));
+        process(std::move(body));
     }
     batch_.clear();
-    if (turns_++ % turnsBetweenGauges == 0) {
+    if (batchCount_++ % batchesBetweenGaugeUpdates == 0) {
         ports_.metrics_->observe(state_, readClock());
         ports_.metrics_->observeDroppedLines(ports_.log_->droppedLines());
     }
 }
 
-void EventLoop::take(EventBody body)
+void EventLoop::process(EventBody body)
 {
     const Event event{readClock(), std::move(body)};
     ports_.metrics_->observe(event);
@@ -172,10 +172,10 @@
 
 void EventLoop::perform(const ArmWakeUp &effect)
 {
-    wakeUp_.expires_after(effect.at_ - readClock()); // Cancels the wait before.
+    wakeUp_.expires_after(effect.at_ - readClock()); // Cancels the previous wait.
     wakeUp_.async_wait([this](const boost::system::error_code &error) {
         if (!error) {
-            take(WakeUp{});
+            process(WakeUp{});
         }
     });
 }
--- a/src/Signals.cpp
+++ b/src/Signals.cpp
@@ -23,31 +23,31 @@
 void Signals::start(std::function<void()> handler)
 {
     handler_ = std::move(handler);
-    await();
+    waitForNext();
     thread_ = std::thread([this] { context_.run(); });
 }
 
 void Signals::wait()
 {
-    std::promise<void> came;
+    std::promise<void> received;
     bool first = true;
     start([&] {
         if (first) {
             first = false;
-            came.set_value();
+            received.set_value();
         }
     });
-    came.get_future().wait();
+    received.get_future().wait();
     context_.stop();
     thread_.join();
 }
 
-void Signals::await()
+void Signals::waitForNext()
 {
     set_.async_wait([this](const boost::system::error_code &error, int) {
         if (!error) {
             handler_();
-            await();
+            waitForNext();
         }
     });
 }
