--- a/test/support/FailoverStory.cpp
+++ b/test/support/FailoverStory.cpp
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr Duration settleTime = std::chrono::seconds(3);
-constexpr Duration patience = std::chrono::seconds(5);
+constexpr Duration requestTimeout = std::chrono::seconds(5);
 
 } // namespace
 
@@ -19,7 +19,7 @@
 
 std::optional<Answer> FailoverStory::write(ProxyIndex proxy, const std::string &body)
 {
-    Request request{.kind_ = RequestKind::Write, .service_ = ServiceId("ledger"), .group_ = World::groupId(0), .body_ = body, .timeout_ = patience};
+    Request request{.kind_ = RequestKind::Write, .service_ = ServiceId("ledger"), .group_ = World::groupId(0), .body_ = body, .timeout_ = requestTimeout};
     request.key_ = {{100, 1}, Sequence(++sequence_)};
     request.class_ = ClassId("fitment");
     return world_.askAndWait(proxy, request);
--- a/test/support/FailoverStory.h
+++ b/test/support/FailoverStory.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines a small world for stories of failover: one group of three members, an owner of it in each of three availability zones, a caller who writes.
+ * Defines a small simulated deployment for failover tests: one group of three members, one owner in each of three availability zones, and a caller that writes.
  */
 #pragma once
 
@@ -11,27 +11,27 @@
 
 namespace Figward::Testing {
 
-/** A world that has settled: member 0 is primary of term 1 and each owner has its block of terms. */
+/** A simulated deployment in steady state: member 0 is primary of term 1 and each owner holds its block of terms. */
 class FailoverStory
 {
 public:
     explicit FailoverStory(WorldConfig config = {});
 
-    /** A caller writes \p body through \p proxy and waits up to five seconds. */
+    /** Writes \p body through \p proxy as a caller and waits up to five seconds for the answer. */
     std::optional<Answer> write(ProxyIndex proxy, const std::string &body);
-    /** Runs the world until a write through \p proxy is acknowledged or \p limit has passed; returns the time it took. */
+    /** Advances the simulation until a write through \p proxy is acknowledged or \p limit has passed; returns the time it took. */
     std::optional<Duration> timeToWrite(ProxyIndex proxy, Duration limit);
-    /** The owner that tries first, and the one that tries second. */
+    /** Returns the owner that attempts the failover at position \p rank in the order of the owners. */
     ProxyIndex ownerOfRank(unsigned rank);
     FailoverState &failover(ProxyIndex proxy);
     const GroupView &view(ProxyIndex proxy);
-    /** Cuts off \p zone from all others. */
+    /** Isolates \p zone from all others, or reconnects it if \p cut is false. */
     void isolate(std::size_t zone, bool cut);
-    /** Number of promotions in the log of the primary of the highest term. */
+    /** Returns the number of promotions recorded in the log of the primary of the highest term. */
     std::size_t promotions();
-    /** Kills the primary's process and host. */
+    /** Stops the primary's process and host; its connections are not closed. */
     void losePrimary();
-    /** Values of \p key in the members' logs. */
+    /** Returns the value of \p key in each member's log, in the order of the members; empty if there is none. */
     std::vector<std::string> valuesOf(const std::string &key);
 
     World world_;
--- a/test/support/Fleet.cpp
+++ b/test/support/Fleet.cpp
@@ -16,14 +16,14 @@
 constexpr unsigned percent = 100;
 constexpr unsigned octet = 256;
 constexpr Duration upstreamLatency = std::chrono::microseconds(300);
-constexpr Duration breakNotice = std::chrono::milliseconds(20); // Until a sender learns that its connection is gone.
+constexpr Duration lossDetectionDelay = std::chrono::milliseconds(20); // Time until a sender is told that its connection is lost.
 
 std::string addressOf(std::size_t vm)
 {
     return "vm-" + std::to_string(vm) + ":7000";
 }
 
-/** An estimate of a platform call's size on the wire: paths and values dominate. */
+/** Estimates the size of a platform call on the wire, to which paths and values contribute most. */
 std::uint64_t sizeOf(const PlatformBody &body)
 {
     constexpr std::uint64_t frame = 16;
@@ -309,7 +309,7 @@
         },
         [](const WriteLog &) {},
         [&](const ExitProcess &) { kill(vm, false); },
-        [](const SessionEffect &) {}, // This fleet speaks figward's own protocol only.
+        [](const SessionEffect &) {}, // The simulated fleet supports only figward's own protocol.
     };
     std::visit(handle, effect);
 }
@@ -331,7 +331,7 @@
     const unsigned from = zoneOf(vm);
     const bool reachable = receiver != byAddress_.end() && !cuts_.contains({from, zoneOf(receiver->second)});
     if (!reachable) {
-        after(breakNotice, [this, vm, address = effect.address_] { give(vm, PeerLost{address}); });
+        after(lossDetectionDelay, [this, vm, address = effect.address_] { give(vm, PeerLost{address}); });
         return;
     }
     if (random_() % percent < options_.lossPercent_) {
@@ -354,7 +354,7 @@
     platformTags_[tag] = {vm, call.id_};
     platform_.call(Standin::PlatformTag(tag), call, now_);
     if (const std::optional<Time> timeout = platform_.nextTimeout()) {
-        at(*timeout, [] {}); // Watches end by themselves: the run looks for them then.
+        at(*timeout, [] {}); // The platform ends watches at their timeout; this event makes the run collect their answers then.
     }
 }
 
@@ -369,7 +369,7 @@
 {
     const auto found = platformTags_.find(reply.tag_.value());
     if (found == platformTags_.end()) {
-        return; // A test's own call.
+        return; // The call was made by a test, not by a VM.
     }
     const std::size_t vm = found->second.first;
     platformTags_.erase(found);
@@ -414,7 +414,7 @@
                 return;
             }
             if (known == links_.end()) {
-                groups_.at(group)->close(body.link_, now_); // Given up while it was being opened.
+                groups_.at(group)->close(body.link_, now_); // The proxy closed the connection before it was established.
                 return;
             }
             known->second.link_ = body.link_;
--- a/test/support/Fleet.h
+++ b/test/support/Fleet.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines a fleet of reducers joined in virtual time by a network, a platform and database groups, for tests of how many proxies act together.
+ * Defines a simulation in virtual time of many reducers connected by a network, a platform and database groups, for tests of large fleets.
  */
 #pragma once
 
@@ -18,28 +18,28 @@
 
 namespace Figward::Testing {
 
-/** Size and times of a fleet. */
+/** Size, latencies and faults of a simulated fleet. */
 struct FleetOptions
 {
     unsigned vms_ = 8;
     unsigned zones_ = 3;
     std::uint64_t seed_ = 1;
-    Duration latency_ = std::chrono::microseconds(1500); ///< One way between zones.
-    Duration zoneLatency_ = std::chrono::microseconds(300); ///< One way within a zone.
-    unsigned lossPercent_ = 0; ///< Messages between proxies that are lost without notice.
-    bool seeds_ = true; ///< Each VM knows the addresses of the first VM of each zone.
+    Duration latency_ = std::chrono::microseconds(1500); ///< One-way latency between zones.
+    Duration zoneLatency_ = std::chrono::microseconds(300); ///< One-way latency within a zone.
+    unsigned lossPercent_ = 0; ///< Percentage of the messages between proxies that are lost without an error at the sender.
+    bool seeds_ = true; ///< Whether each VM is configured with the addresses of the first VM of each zone.
     FleetTuning tuning_;
     Standin::PlatformModelConfig platform_;
 };
 
-/** What one VM has sent and received for control, in bytes on the wire. */
+/** Control traffic of one VM, in messages, calls and bytes on the wire. */
 struct Traffic
 {
     std::uint64_t sentMessages_ = 0;
     std::uint64_t sentBytes_ = 0;
     std::uint64_t receivedBytes_ = 0;
     std::uint64_t platformCalls_ = 0;
-    std::uint64_t platformBytes_ = 0; ///< Of calls and answers.
+    std::uint64_t platformBytes_ = 0; ///< Bytes of calls to the platform and of their answers.
 };
 
 /** One proxy of the fleet. */
@@ -49,11 +49,11 @@
     bool running_ = true;
     Traffic traffic_;
     std::vector<std::pair<RequestId, Answer>> answers_;
-    std::optional<Time> configuredAt_; ///< When the version awaited by awaitVersion() came into force.
-    std::uint64_t wakeUp_ = 0; ///< Number of the wake-up asked for last.
+    std::optional<Time> configuredAt_; ///< Time at which the version passed to awaitVersion() became active.
+    std::uint64_t wakeUp_ = 0; ///< Number of the last wake-up requested; earlier ones are ignored.
 };
 
-/** The fleet. All VMs start at time zero and are on the platform's list. */
+/** Simulated fleet. All VMs start at time zero and are on the platform's list. */
 class Fleet
 {
 public:
@@ -62,30 +62,30 @@
     [[nodiscard]] Time now() const;
     [[nodiscard]] std::vector<FleetVm> &vms();
     [[nodiscard]] Standin::PlatformModel &platform();
-    /** Runs all that happens within \p span. */
+    /** Processes all events of the next \p span of virtual time. */
     void run(Duration span);
-    /** Hands an event to a VM now. */
+    /** Delivers an event to a VM at the current time. */
     void give(std::size_t vm, EventBody body);
 
-    /** Writes \p text to the platform as the next version, as an operator's apply does. Returns the version. */
+    /** Writes \p text to the platform as the next configuration version, as an operator's apply does, and returns that version. */
     ConfigVersion apply(const std::string &text);
-    /** From now on notes at each VM when \p version or a later one is in force. */
+    /** Records from now on, for each VM, when \p version or a later one becomes active. */
     void awaitVersion(ConfigVersion version);
 
-    /** Ends a VM without notice. \p listed: it stays on the platform's list. */
+    /** Stops a VM abruptly. If \p listed is true, it stays on the platform's list. */
     void kill(std::size_t vm, bool listed);
-    /** Starts a new incarnation in the place of a VM that has ended; returns its index. */
+    /** Starts a new incarnation to replace a stopped VM and returns its index. */
     std::size_t replace(std::size_t vm);
-    /** Cuts or joins two zones. */
+    /** Cuts or restores the network between two zones. */
     void setCut(unsigned zoneA, unsigned zoneB, bool cut);
-    /** Cuts or joins a zone and the platform: its calls are then unavailable. */
+    /** Cuts or restores the network between a zone and the platform; while it is cut, the platform calls of the zone fail as unavailable. */
     void setPlatformCut(unsigned zone, bool cut);
-    /** Adds a database group with members named "GROUP-0" and so on, as configured. */
+    /** Adds a database group with members named "GROUP-0", "GROUP-1" and so on, with the settings of \p config. */
     void addGroup(const GroupId &group, Standin::GroupModelConfig config);
     [[nodiscard]] Standin::GroupModel &group(const GroupId &group);
-    /** Called after each event of each VM, to check what must always hold. */
+    /** Sets a function that is called after each event of each VM, to check invariants. */
     void setObserver(std::function<void(Fleet &, std::size_t)> observer);
-    /** Whether the sizes of messages are measured; off at the start, since it costs time. */
+    /** Enables or disables measuring of message sizes; disabled by default because it slows the simulation. */
     void setMeasuring(bool measuring);
 
 private:
@@ -150,9 +150,8 @@
     bool measuring_ = false;
 };
 
-/** Text of a configuration with \p services services of one group each, named "service-0" and "group-0" on; \p mark makes a text differ from another. */
+/** Returns the text of a configuration with \p services services of one group each, named from "service-0" and "group-0"; different \p mark give different texts. */
 std::string configurationText(unsigned services, unsigned mark, unsigned connectionLimit = 35, unsigned slots = 5);
-/** Name of a zone. */
 ZoneId zoneName(unsigned zone);
 
 } // namespace Figward::Testing
--- a/test/support/LoopbackFleet.cpp
+++ b/test/support/LoopbackFleet.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr std::chrono::seconds patience(60);
+constexpr std::chrono::seconds conditionTimeout(60);
 constexpr std::chrono::milliseconds pollInterval(5);
 
 Standin::PlatformModelConfig quickPlatform()
@@ -44,7 +44,7 @@
 
 bool eventually(const std::function<bool()> &condition)
 {
-    const auto end = std::chrono::steady_clock::now() + patience;
+    const auto end = std::chrono::steady_clock::now() + conditionTimeout;
     while (!condition()) {
         if (std::chrono::steady_clock::now() > end) {
             return false;
--- a/test/support/LoopbackFleet.h
+++ b/test/support/LoopbackFleet.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines proxies and stand-ins that run in the test's process and talk over loopback ports.
+ * Defines proxies and simulated members and platform that run in the test process and communicate over loopback ports.
  */
 #pragma once
 
@@ -14,7 +14,7 @@
 
 namespace Figward::Testing {
 
-/** Keeps the numbers of the log events that were written. */
+/** Records the numbers of the log events that are written. */
 class RecordingLog : public LogPort
 {
 public:
@@ -26,45 +26,45 @@
     std::vector<LogNumber> numbers_;
 };
 
-/** Waits until \p condition holds; false if it does not within a bound that only a fault reaches. */
+/** Waits until \p condition holds; returns false after a timeout that is long enough to be reached only in case of a fault. */
 bool eventually(const std::function<bool()> &condition);
 
-/** Three availability zones, one group of three members, any number of proxies. */
+/** Fleet with three availability zones, one group of three members and any number of proxies. */
 class LoopbackFleet
 {
 public:
-    /** \p slots is what the configuration says of the group. */
+    /** \p slots is the number of slots that the configuration states for the group. */
     explicit LoopbackFleet(Standin::GroupModelConfig group = defaultGroup(), SlotCount slots = SlotCount(5));
 
-    /** Proxies started from now on speak TLS with callers and with each other, by the certificates in test/support/certificates. */
+    /** Makes proxies started from now on use TLS to callers and to each other, with the certificates in test/support/certificates. */
     void useTls();
-    /** What a caller needs to trust the proxies; nothing without TLS. */
+    /** Returns the certificates that a caller needs to trust the proxies; nothing without TLS. */
     [[nodiscard]] std::optional<TlsMaterial> callerTrust() const;
     /** Starts a proxy in a zone, and waits until it has the configuration and an answer from the group. */
     ProxyProcess &addProxy(const std::string &zone);
     /** Starts a proxy with \p options, to which the platform's address and the log are added; does not wait. */
     std::unique_ptr<ProxyProcess> makeProxy(ProxyOptions options);
-    /** Puts the configuration into force on \p proxy. */
+    /** Activates the configuration on \p proxy. */
     void configure(ProxyProcess &proxy);
     [[nodiscard]] Standin::GroupStandinServer &group();
     [[nodiscard]] Standin::PlatformStandinServer &platform();
     [[nodiscard]] ProxyProcess &proxy(std::size_t index);
     [[nodiscard]] std::size_t size() const;
     [[nodiscard]] RecordingLog &log();
-    /** Ends the proxy at \p index gracefully and starts another in its place. */
+    /** Stops the proxy at \p index gracefully and starts another in its place. */
     void replace(std::size_t index, const std::string &zone);
-    /** The configuration that proxies get. */
+    /** Returns the configuration given to the proxies. */
     [[nodiscard]] Configuration configuration() const;
 
     static Standin::GroupModelConfig defaultGroup();
     static ServiceId service();
     static GroupId groupId();
-    /** A session that no other test uses. */
+    /** Returns a session that no other test uses. */
     static CallerSession session();
 
 private:
     std::unique_ptr<ProxyProcess> startProxy(const std::string &zone);
-    /** Waits until each proxy lists all of them. */
+    /** Waits until each proxy has all proxies in its list. */
     void awaitMembership();
 
     std::shared_ptr<RecordingLog> log_ = std::make_shared<RecordingLog>();
--- a/test/support/ScriptedProxy.h
+++ b/test/support/ScriptedProxy.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines a proxy whose surroundings are played by the test: it owns one group of three members, and the test says what they report and answer.
+ * Defines a proxy whose environment is scripted by the test: it owns one group of three members, whose reports and answers the test sets.
  */
 #pragma once
 
@@ -12,38 +12,38 @@
 
 namespace Figward::Testing {
 
-/** One proxy and one group "g" with members "a", "b", "c" in zones "z1" to "z3"; "a" is primary of term 1 at position 1. */
+/** Proxy with one group "g" with members "a", "b", "c" in zones "z1" to "z3"; "a" is primary of term 1 at position 1. */
 class ScriptedProxy
 {
 public:
-    /** \p others are further VMs; with \p owns false this proxy owns nothing and only enters requests. */
+    /** \p others are further VMs; with \p owns false this proxy owns no group and is only the entry of requests. */
     explicit ScriptedProxy(std::vector<VmInfo> others = {}, bool owns = true);
 
-    /** Feeds \p body at the present time; probes, connections and platform calls among the effects are answered at once from the knobs below. */
+    /** Processes \p body at the current time. Probes, connection attempts and platform calls among the effects are answered at once, as reports_ states. */
     void feed(EventBody body);
-    /** Lets \p span pass, with every wake-up in it. */
+    /** Advances the time by \p span and delivers every wake-up due in it. */
     void pass(Duration span);
-    /** A caller asks; returns the request's id. */
+    /** Submits a request as a caller and returns its id. */
     RequestId ask(Request request);
-    /** The answers given to \p id so far. */
+    /** Returns the answers given to \p id so far. */
     [[nodiscard]] std::vector<Answer> answersTo(RequestId id) const;
-    /** Removes and returns the statements sent to members and not taken yet, oldest first. */
+    /** Removes and returns the statements sent to members since the last call, oldest first. */
     std::vector<SendStatement> takeStatements();
-    /** The only statement sent since the last take; fails the test if there is not exactly one. */
+    /** Removes and returns the only statement sent to a member since the last call; fails the test if there is not exactly one. */
     SendStatement takeStatement();
-    /** Removes and returns the forwarded requests sent to other proxies and not taken yet, oldest first. */
+    /** Removes and returns the forwarded requests sent to other proxies since the last call, oldest first. */
     std::vector<PeerMessage> takeForwards();
-    /** The only request forwarded since the last take; fails the test if there is not exactly one. */
+    /** Removes and returns the only request forwarded since the last call; fails the test if there is not exactly one. */
     PeerMessage takeForward();
-    /** The proxy that \p forward went to answers it. */
+    /** Delivers the answer to \p forward from the proxy to which it was sent. */
     void answerForward(const PeerMessage &forward, Answer answer);
-    /** The member that \p sent went to answers it. */
+    /** Delivers the answer to \p sent from the member to which it was sent. */
     void answer(const SendStatement &sent, UpstreamResult result, LogPoint point = {}, std::string body = {});
-    /** Member that a connection leads to. */
+    /** Returns the member to which a connection leads. */
     [[nodiscard]] MemberId memberOf(ConnectionId connection) const;
-    /** Whether the proxy has closed \p connection. */
+    /** Returns whether the proxy has closed \p connection. */
     [[nodiscard]] bool isClosed(ConnectionId connection) const;
-    /** \p member reports this log position of its present term from now on. */
+    /** Makes \p member report this log position of its current term from now on. */
     void setPosition(const std::string &member, std::uint64_t position);
 
     static Request write(std::uint64_t sequence, const std::string &body);
@@ -51,7 +51,7 @@
 
     ProxyState state_;
     Time now_;
-    std::map<MemberId, MemberStatus> reports_; ///< What members report; a member without an entry does not answer.
+    std::map<MemberId, MemberStatus> reports_; ///< Status that each member reports; a member without an entry does not answer.
     std::vector<Effect> effects_; ///< All effects, oldest first.
 
 private:
@@ -70,7 +70,7 @@
     std::uint64_t nextRequest_ = 1000;
 };
 
-/** A configuration with service "s" that has the group described at ScriptedProxy. */
+/** Returns a configuration with service "s" that has the group described at ScriptedProxy. */
 Configuration smallConfiguration();
 
 } // namespace Figward::Testing
