--- a/test/support/FailoverStory.h
+++ b/test/support/FailoverStory.h
@@ -21,7 +21,7 @@
     std::optional<Answer> write(ProxyIndex proxy, const std::string &body);
     /** Advances the simulation until a write through \p proxy is acknowledged or \p limit has passed; returns the time it took. */
     std::optional<Duration> timeToWrite(ProxyIndex proxy, Duration limit);
-    /** Returns the owner that attempts the failover at position \p rank in the order of the owners. */
+    /** Returns the owner whose failover rank is \p rank; the owner of rank 0 attempts a failover first. */
     ProxyIndex ownerOfRank(unsigned rank);
     FailoverState &failover(ProxyIndex proxy);
     const GroupView &view(ProxyIndex proxy);
--- a/test/support/Fleet.h
+++ b/test/support/Fleet.h
@@ -150,7 +150,10 @@
     bool measuring_ = false;
 };
 
-/** Returns the text of a configuration with \p services services of one group each, named from "service-0" and "group-0"; different \p mark give different texts. */
+/**
+ * Returns the text of a configuration with \p services services of one group each, named from "service-0" and "group-0". Different values of \p mark give
+ * different texts.
+ */
 std::string configurationText(unsigned services, unsigned mark, unsigned connectionLimit = 35, unsigned slots = 5);
 ZoneId zoneName(unsigned zone);
 
--- a/test/support/SessionLoad.cpp
+++ b/test/support/SessionLoad.cpp
@@ -4,11 +4,11 @@
 
 namespace {
 
-constexpr unsigned mostAttempts = 3;
-/** From a refusal to the next attempt. */
-constexpr Duration retryPause = std::chrono::milliseconds(50);
-/** Of a client between two statements of a transaction. */
-constexpr Duration statementPause = std::chrono::milliseconds(20);
+constexpr unsigned attemptLimit = 3;
+/** Delay between a failed attempt and the next one. */
+constexpr Duration retryBackoff = std::chrono::milliseconds(50);
+/** Client's pause between two statements of a transaction. */
+constexpr Duration statementInterval = std::chrono::milliseconds(20);
 constexpr unsigned transactionStatements = 3;
 
 } // namespace
@@ -30,12 +30,12 @@
 void SessionLoad::run(Duration duration)
 {
     const Time end = world_.now() + duration;
-    Duration longest{};
+    Duration longestBudget{};
     for (std::size_t route = 0; route < routes_.size(); ++route) {
-        arrive(route, end);
-        longest = std::max(longest, routes_[route].budget_);
+        scheduleArrival(route, end);
+        longestBudget = std::max(longestBudget, routes_[route].budget_);
     }
-    world_.run(duration + longest);
+    world_.run(duration + longestBudget);
 }
 
 const LoadCount &SessionLoad::count(const std::string &database) const
@@ -60,7 +60,7 @@
     return Duration(static_cast<std::int64_t>(static_cast<double>(route.work_.count()) * factor(random_)));
 }
 
-void SessionLoad::arrive(std::size_t route, Time end)
+void SessionLoad::scheduleArrival(std::size_t route, Time end)
 {
     const Duration pause = exponential(1e6 / routes_[route].perSecond_);
     if (world_.now() + pause >= end) {
@@ -79,17 +79,17 @@
         }
         ++counts_[kind.database_].asked_;
         begin(std::move(operation));
-        arrive(route, end);
+        scheduleArrival(route, end);
     });
 }
 
-std::size_t SessionLoad::someSession(const std::string &database)
+std::size_t SessionLoad::sessionAtRandomVm(const std::string &database)
 {
     unsigned vm = static_cast<unsigned>(random_() % vms_);
     for (unsigned tried = 0; tried < vms_ && !world_.runs(vm); ++tried) {
         vm = (vm + 1) % vms_;
     }
-    std::vector<std::size_t> &free = free_[{vm, database}];
+    std::vector<std::size_t> &free = idleSessions_[{vm, database}];
     while (!free.empty()) {
         const std::size_t client = free.back();
         free.pop_back();
@@ -102,33 +102,33 @@
 
 void SessionLoad::begin(Operation operation)
 {
-    const std::size_t client = someSession(routes_[operation.route_].database_);
-    underWay_[client] = std::move(operation);
+    const std::size_t client = sessionAtRandomVm(routes_[operation.route_].database_);
+    inProgress_[client] = std::move(operation);
     sendNext(client);
 }
 
 void SessionLoad::sendNext(std::size_t client)
 {
-    Operation &operation = underWay_.at(client);
+    Operation &operation = inProgress_.at(client);
     const LoadRoute &route = routes_[operation.route_];
     if (world_.now() - operation.began_ > route.budget_) {
-        underWay_.erase(client);
-        world_.close(client); // The client has given up.
+        inProgress_.erase(client);
+        world_.close(client); // The client gives up when its time budget is used up.
         return;
     }
     ClientStatement statement;
     statement.id_ = "load-" + std::to_string(client) + "-" + std::to_string(random_());
-    statement.kind_ = operation.statements_[operation.next_];
+    statement.kind_ = operation.statements_[operation.nextStatement_];
     statement.text_ = statement.kind_ == StatementKind::Write ? "WRITE a 1" : "READ a";
-    operation.waitsFor_ = statement.id_;
+    operation.pendingStatement_ = statement.id_;
     world_.setWork(statement.id_, workOf(route));
     world_.send(client, statement);
 }
 
 void SessionLoad::onAnswer(std::size_t client, const ClientAnswer &answer)
 {
-    const auto found = underWay_.find(client);
-    if (found == underWay_.end() || found->second.waitsFor_ != answer.id_) {
+    const auto found = inProgress_.find(client);
+    if (found == inProgress_.end() || found->second.pendingStatement_ != answer.id_) {
         return;
     }
     Operation &operation = found->second;
@@ -136,33 +136,33 @@
         fail(client, answer.reply_.code_);
         return;
     }
-    if (++operation.next_ < operation.statements_.size()) {
-        operation.pauses_ += statementPause;
-        world_.after(statementPause, [this, client] { sendNext(client); });
+    if (++operation.nextStatement_ < operation.statements_.size()) {
+        operation.pauses_ += statementInterval;
+        world_.after(statementInterval, [this, client] { sendNext(client); });
         return;
     }
     const LoadRoute &route = routes_[operation.route_];
     LoadCount &count = counts_[route.database_];
     const bool inAim = world_.now() - operation.began_ - operation.pauses_ <= route.aim_;
     ++(inAim ? count.inAim_ : count.late_);
-    free_[{world_.client(client).vm_, route.database_}].push_back(client);
-    underWay_.erase(found);
+    idleSessions_[{world_.client(client).vm_, route.database_}].push_back(client);
+    inProgress_.erase(found);
 }
 
 void SessionLoad::fail(std::size_t client, ReplyCode code)
 {
-    Operation operation = std::move(underWay_.at(client));
-    underWay_.erase(client);
+    Operation operation = std::move(inProgress_.at(client));
+    inProgress_.erase(client);
     if (!world_.client(client).closed_) {
         world_.close(client);
     }
-    const bool mayAskAgain = guaranteesNotRun(code) || code == ReplyCode::Aborted || !operation.writes_;
-    if (!mayAskAgain || operation.attempts_ == mostAttempts) {
+    const bool mayRetry = guaranteesNotRun(code) || code == ReplyCode::Aborted || !operation.writes_;
+    if (!mayRetry || operation.attempts_ == attemptLimit) {
         return;
     }
     ++operation.attempts_;
-    operation.next_ = 0;
-    world_.after(retryPause, [this, operation] { begin(operation); });
+    operation.nextStatement_ = 0;
+    world_.after(retryBackoff, [this, operation] { begin(operation); });
 }
 
 std::vector<LoadRoute> ledgerLoad(double scale, unsigned group)
--- a/test/support/TestFiles.h
+++ b/test/support/TestFiles.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines how tests find the files of the repository.
+ * Defines access of tests to the files of the repository.
  */
 #pragma once
 
@@ -10,7 +10,7 @@
 
 namespace Figward::Testing {
 
-/** Contents of the file at \p path, relative to the root of the repository. */
+/** Returns the contents of the file at \p path, relative to the root of the repository. */
 inline std::string readRepositoryFile(const std::string &path)
 {
     std::ifstream in(std::string(FIGWARD_SOURCE_DIR) + "/" + path, std::ios::binary);
--- a/test/support/Trace.cpp
+++ b/test/support/Trace.cpp
@@ -212,7 +212,7 @@
             return list ? std::string() : "<- platform call " + number(e.answer_.id_.value()) + ": " + name(e.answer_.status_);
         },
         [](const DrainAsked &) { return std::string("<- drain asked"); },
-        [](const SessionEvent &) { return std::string(); }, // Traced by the tests of sessions.
+        [](const SessionEvent &) { return std::string(); }, // Session tests have a trace of their own.
     };
     return std::visit(handle, body);
 }
@@ -238,7 +238,7 @@
             return text;
         },
         [](const ExitProcess &) { return std::string("exits"); },
-        [](const SessionEffect &) { return std::string(); }, // Traced by the tests of sessions.
+        [](const SessionEffect &) { return std::string(); }, // Session tests have a trace of their own.
     };
     return std::visit(handle, effect);
 }
--- a/test/support/Trace.h
+++ b/test/support/Trace.h
@@ -1,7 +1,7 @@
 /** \file
- * Defines the text of events and effects as golden files and fuzz reports show them.
+ * Defines the textual form of events and effects in golden files and fuzz reports.
  *
- * What happens all the time and decides nothing by itself (probes, heartbeats, wake-ups, lists of VMs) has an empty text.
+ * Frequent events and effects that decide nothing by themselves (probes, heartbeats, wake-ups, lists of VMs) have an empty text.
  */
 #pragma once
 
@@ -12,13 +12,13 @@
 
 namespace Figward::Testing {
 
-/** One line about \p body, or nothing. */
+/** Returns one line that describes \p body, or an empty string if it is not traced. */
 std::string describe(const EventBody &body);
-/** One line about \p effect, or nothing. */
+/** Returns one line that describes \p effect, or an empty string if it is not traced. */
 std::string describe(const Effect &effect);
-/** One line about what a caller asked. */
+/** Returns one line that describes a request of a caller. */
 std::string describe(const Request &request);
-/** One line about what a caller was told. */
+/** Returns one line that describes the answer to a caller. */
 std::string describe(const Answer &answer);
 
 } // namespace Figward::Testing
--- a/test/support/World.cpp
+++ b/test/support/World.cpp
@@ -11,7 +11,7 @@
 
 constexpr Duration clockStep = std::chrono::hours(1);
 constexpr Duration waitLimit = std::chrono::seconds(60);
-constexpr std::size_t mostAtOneInstant = 100000; // More than any burst: a timer that is armed for the present again and again.
+constexpr std::size_t maxEventsPerInstant = 100000; // More than any burst of events causes; exceeded only if a timer is repeatedly armed for the current time.
 const ServiceId service("ledger");
 
 std::string memberName(std::size_t group, std::size_t member)
@@ -26,16 +26,16 @@
 
 Configuration makeConfiguration(const WorldConfig &config)
 {
-    Configuration made;
-    made.version_ = ConfigVersion(1);
-    made.policy_ = config.policy_;
-    ServiceConfig &ledger = made.services_[service];
+    Configuration result;
+    result.version_ = ConfigVersion(1);
+    result.policy_ = config.policy_;
+    ServiceConfig &ledger = result.services_[service];
     ledger.id_ = service;
     ledger.classes_ = {{ClassId("dispatch"), 0}, {ClassId("fitment"), 1}, {ClassId("planner"), 2}};
     for (std::size_t i = 0; i < config.groups_; ++i) {
         const GroupId id = World::groupId(i);
         ledger.groups_.push_back(id);
-        GroupConfig &group = made.groups_[id];
+        GroupConfig &group = result.groups_[id];
         group.id_ = id;
         group.service_ = service;
         group.connectionLimit_ = config.group_.connectionLimit_;
@@ -44,16 +44,16 @@
             group.members_.push_back({MemberId(memberName(i, m)), zoneName((i + m) % config.zones_), memberName(i, m) + ":1", false});
         }
     }
-    return made;
+    return result;
 }
 
 Standin::GroupModelConfig modelConfig(const WorldConfig &config, std::size_t group)
 {
-    Standin::GroupModelConfig made = config.group_;
+    Standin::GroupModelConfig result = config.group_;
     for (std::size_t m = 0; m < config.membersPerGroup_; ++m) {
-        made.members_.emplace_back(memberName(group, m));
+        result.members_.emplace_back(memberName(group, m));
     }
-    return made;
+    return result;
 }
 
 } // namespace
@@ -96,9 +96,9 @@
     while (!queue_.empty() && queue_.top().at_ <= until) {
         const Scheduled next = queue_.top();
         queue_.pop();
-        atThisInstant_ = next.at_ > now_ ? 0 : atThisInstant_ + 1;
-        if (atThisInstant_ > mostAtOneInstant) {
-            throw std::runtime_error("the proxies spin at " + timeText());
+        eventsAtThisInstant_ = next.at_ > now_ ? 0 : eventsAtThisInstant_ + 1;
+        if (eventsAtThisInstant_ > maxEventsPerInstant) {
+            throw std::runtime_error("the proxies process events without progress of the virtual time at " + timeText());
         }
         now_ = std::max(now_, next.at_);
         next.action_();
@@ -155,7 +155,7 @@
     trace(proxy, "is resumed");
     Proxy &resumed = proxies_.at(proxy);
     resumed.paused_ = false;
-    const std::vector<EventBody> waiting = std::exchange(resumed.waiting_, {});
+    const std::vector<EventBody> waiting = std::exchange(resumed.queuedEvents_, {});
     for (const EventBody &body : waiting) {
         deliver(proxy, resumed.vm_.id_, body);
     }
@@ -170,21 +170,22 @@
     trace(proxy, killed.exited_ ? "is gone" : "is killed");
     killed.state_.reset();
     killed.paused_ = false;
-    killed.waiting_.clear();
+    killed.queuedEvents_.clear();
     for (auto &[connection, link] : killed.links_) {
         if (link.link_) {
             closeLink(link.group_, *link.link_, placeOf(proxy), placeOfMember(link.group_, link.member_));
         }
     }
     killed.links_.clear();
-    killed.taken_.clear();
+    killed.unanswered_.clear();
     for (auto &[id, reply] : std::exchange(killed.callers_, {})) {
         schedule(now_, [reply = std::move(reply)] { reply(std::nullopt); });
     }
     for (ProxyIndex peer = 0; peer < proxies_.size(); ++peer) {
         if (peer != proxy) {
             const VmId incarnation = proxies_[peer].vm_.id_;
-            carry(placeOf(proxy), placeOf(peer), [this, peer, incarnation, address = killed.vm_.address_] { deliver(peer, incarnation, PeerLost{address}); });
+            transmit(
+                placeOf(proxy), placeOf(peer), [this, peer, incarnation, address = killed.vm_.address_] { deliver(peer, incarnation, PeerLost{address}); });
         }
     }
 }
@@ -225,14 +226,14 @@
 {
     note("member " + groups_.at(group)->config().members_.at(member).value() + " is killed");
     groups_[group]->kill(member, closesLinks, now_);
-    pumpGroup(group);
+    scheduleGroupReplies(group);
 }
 
 void World::restartMember(std::size_t group, Standin::MemberIndex member)
 {
     note("member " + groups_.at(group)->config().members_.at(member).value() + " restarts");
     groups_[group]->restart(member, now_);
-    pumpGroup(group);
+    scheduleGroupReplies(group);
 }
 
 void World::pauseMember(std::size_t group, Standin::MemberIndex member)
@@ -245,7 +246,7 @@
 {
     note("member " + groups_.at(group)->config().members_.at(member).value() + " resumes");
     groups_[group]->resume(member, now_);
-    pumpGroup(group);
+    scheduleGroupReplies(group);
 }
 
 void World::applyConfiguration(const Configuration &configuration)
@@ -282,7 +283,7 @@
     }
     releaseHeld();
     for (std::size_t i = 0; i < groups_.size(); ++i) {
-        pumpGroup(i);
+        scheduleGroupReplies(i);
     }
     for (ProxyIndex proxy = 0; proxy < proxies_.size(); ++proxy) {
         resumeProxy(proxy);
@@ -371,7 +372,7 @@
     trace_ = lines;
 }
 
-/** Starts a process on \p proxy's VM. */
+/** Starts a proxy process on the VM of \p proxy. */
 void World::boot(ProxyIndex proxy)
 {
     Proxy &booted = proxies_.at(proxy);
@@ -381,7 +382,7 @@
     }
     booted.state_ = std::make_unique<ProxyState>(makeProxyState({booted.vm_, std::move(seeds)}, random_()));
     booted.links_.clear();
-    booted.waiting_.clear();
+    booted.queuedEvents_.clear();
     deliver(proxy, booted.vm_.id_, Started{});
     Effects effects;
     activateConfiguration(*booted.state_, configuration_, now_ + booted.clockOffset_, effects);
@@ -390,39 +391,39 @@
     }
 }
 
-/** Has \p proxy take \p body at once; while it is paused, when it resumes; not at all if it is another incarnation. */
+/** Schedules \p body for \p proxy at the current time. A paused proxy gets it when it resumes; another incarnation does not get it. */
 void World::deliver(ProxyIndex proxy, VmId incarnation, EventBody body)
 {
     schedule(now_, [this, proxy, incarnation, body = std::move(body)]() mutable {
-        Proxy &taker = proxies_.at(proxy);
-        if (!taker.state_ || taker.vm_.id_ != incarnation) {
+        Proxy &receiver = proxies_.at(proxy);
+        if (!receiver.state_ || receiver.vm_.id_ != incarnation) {
             return;
         }
-        if (taker.paused_) {
-            taker.waiting_.push_back(std::move(body));
+        if (receiver.paused_) {
+            receiver.queuedEvents_.push_back(std::move(body));
             return;
         }
-        take(proxy, std::move(body));
+        processEvent(proxy, std::move(body));
     });
 }
 
-void World::take(ProxyIndex proxy, EventBody body)
+void World::processEvent(ProxyIndex proxy, EventBody body)
 {
-    Proxy &taker = proxies_.at(proxy);
+    Proxy &receiver = proxies_.at(proxy);
     if (hooks_.beforeEvent_) {
-        hooks_.beforeEvent_(proxy, *taker.state_, body);
+        hooks_.beforeEvent_(proxy, *receiver.state_, body);
     }
     if (const auto *asked = std::get_if<CallerAsked>(&body)) {
-        taker.taken_.insert(asked->id_);
+        receiver.unanswered_.insert(asked->id_);
     }
     const auto *control = std::get_if<ControlAnswered>(&body);
-    const bool probe = control != nullptr && taker.probes_.erase(control->answer_.id_) > 0;
+    const bool probe = control != nullptr && receiver.probes_.erase(control->answer_.id_) > 0;
     if (trace_ != nullptr && !probe) {
         trace(proxy, describe(body));
     }
-    Effects effects = reduce(*taker.state_, {now_ + taker.clockOffset_, std::move(body)});
+    Effects effects = reduce(*receiver.state_, {now_ + receiver.clockOffset_, std::move(body)});
     if (hooks_.afterEvent_) {
-        hooks_.afterEvent_(proxy, *taker.state_, effects);
+        hooks_.afterEvent_(proxy, *receiver.state_, effects);
     }
     for (const Effect &effect : effects) {
         if (trace_ != nullptr) {
@@ -439,7 +440,7 @@
     }
 }
 
-/** The present time in milliseconds with three decimals. */
+/** Returns the current time in milliseconds with three decimals. */
 std::string World::timeText() const
 {
     constexpr std::int64_t microsPerMilli = 1000;
--- a/test/support/World.h
+++ b/test/support/World.h
@@ -1,9 +1,9 @@
 /** \file
- * Defines a harness that joins reducers in virtual time: an event queue, the network between zones, and the models of groups and platform.
+ * Defines a simulation in virtual time that connects reducers: an event queue, the network between zones, and the models of groups and platform.
  *
- * It decides nothing of its own. Messages between two sides that are cut off from each other are held as TCP would hold them and arrive, in
- * order, once the cut is healed; the sender learns of the loss by its own timeout. Each proxy's clock starts elsewhere, so that instants of
- * two processes can never be compared by accident.
+ * It makes no decisions on behalf of the proxies. Messages between two places that are cut off from each other are held as TCP would hold them, and arrive
+ * in order once the cut is healed; the sender detects the loss by its own timeout. Each proxy's clock starts at a different time, so that a comparison of
+ * instants of two processes by mistake is always noticed.
  */
 #pragma once
 
@@ -20,14 +20,14 @@
 /** Index of a proxy's VM in the world; a VM that is replaced keeps it. */
 using ProxyIndex = std::size_t;
 
-/** A place in the network. */
+/** Location in the network: a zone or the platform. */
 struct Place
 {
     std::size_t zone_ = 0;
-    bool platform_ = false; ///< The platform's own, in no zone.
+    bool platform_ = false; ///< Whether this is the location of the platform, which is in no zone.
 };
 
-/** Size and speed of a world. Proxies, and the members of each group, are spread over the zones in turn. */
+/** Size and latencies of a simulation. Proxies, and the members of each group, are spread over the zones in turn. */
 struct WorldConfig
 {
     std::uint64_t seed_ = 1;
@@ -35,16 +35,16 @@
     std::size_t proxies_ = 3;
     std::size_t groups_ = 1;
     std::size_t membersPerGroup_ = 3;
-    Duration insideZone_ = std::chrono::microseconds(100); ///< One way.
-    Duration betweenZones_ = std::chrono::microseconds(1500); ///< One way.
-    Duration toPlatform_ = std::chrono::microseconds(500); ///< One way.
-    Duration lossNoticed_ = std::chrono::milliseconds(200); ///< Until a sender hears that a peer or an upstream cannot be reached.
-    Standin::GroupModelConfig group_; ///< The members' names are filled in.
+    Duration insideZone_ = std::chrono::microseconds(100); ///< One-way latency within a zone.
+    Duration betweenZones_ = std::chrono::microseconds(1500); ///< One-way latency between zones.
+    Duration toPlatform_ = std::chrono::microseconds(500); ///< One-way latency between a zone and the platform.
+    Duration lossDetectionDelay_ = std::chrono::milliseconds(200); ///< Time until a sender is told that a peer or an upstream is unreachable.
+    Standin::GroupModelConfig group_; ///< Settings of each group; the simulation adds the members' names.
     Standin::PlatformModelConfig platform_;
     Policy policy_;
 };
 
-/** Chances, in percent, of what the network does to a message between proxies. */
+/** Probabilities, in percent, of network faults of a message between proxies. */
 struct PeerFaults
 {
     unsigned dropPercent_ = 0;
@@ -53,65 +53,65 @@
     Duration delay_ = std::chrono::milliseconds(30);
 };
 
-/** What a caller hears: its answer, or nothing when its proxy died. */
+/** Receives the answer to a caller, or nothing if its proxy was killed or exited. */
 using CallerReply = std::function<void(const std::optional<Answer> &)>;
 
-/** Lets a test look at, or alter, what passes a proxy: to show that the oracle notices when a safeguard is missing. */
+/** Callbacks that inspect or alter the events and effects of a proxy, to show that the oracle detects a missing safeguard. */
 struct WorldHooks
 {
     std::function<void(ProxyIndex, ProxyState &, EventBody &)> beforeEvent_;
     std::function<void(ProxyIndex, ProxyState &, Effects &)> afterEvent_;
 };
 
-/** The world. */
+/** Simulation of proxies, members, platform and network in virtual time. */
 class World
 {
 public:
     explicit World(WorldConfig config);
 
     [[nodiscard]] Time now() const;
-    /** Runs all that happens in the next \p duration. */
+    /** Processes all events of the next \p duration of virtual time. */
     void run(Duration duration);
-    /** Has \p action happen at \p at. */
+    /** Schedules \p action at time \p at. */
     void schedule(Time at, std::function<void()> action);
 
-    /** A caller asks at \p proxy. \p reply is called once. */
+    /** Submits a request to \p proxy as a caller. \p reply is called once. */
     void ask(ProxyIndex proxy, Request request, CallerReply reply);
-    /** Asks and runs the world until the answer is there; nothing if the proxy died. */
+    /** Submits a request and advances the simulation until it is answered; returns nothing if the proxy was killed or the answer takes over 60 s. */
     std::optional<Answer> askAndWait(ProxyIndex proxy, Request request);
-    /** The caller of an open transaction is gone. */
+    /** Tells the proxy that the caller of an open transaction has disconnected. */
     void leaveTransaction(ProxyIndex proxy, TransactionId transaction);
 
-    // Faults of the network
+    // Network faults.
     void setZonesCut(std::size_t a, std::size_t b, bool cut);
     void setPlatformCut(std::size_t zone, bool cut);
     void setPeerFaults(PeerFaults faults);
 
-    // Faults of proxies
+    // Proxy faults.
     void pauseProxy(ProxyIndex proxy);
     void resumeProxy(ProxyIndex proxy);
-    /** The process is gone with its state; its callers hear nothing and its connections close. */
+    /** Kills the process, whose state is lost; its callers get no answer and its connections are closed. */
     void killProxy(ProxyIndex proxy);
     /** Starts a new incarnation on the VM of a proxy that was killed or has exited. */
     void startProxy(ProxyIndex proxy);
     void drainProxy(ProxyIndex proxy);
-    // Faults of members; a dead member's log stays
+    // Member faults; the log of a killed member is kept.
     void killMember(std::size_t group, Standin::MemberIndex member, bool closesLinks);
     void restartMember(std::size_t group, Standin::MemberIndex member);
     void pauseMember(std::size_t group, Standin::MemberIndex member);
     void resumeMember(std::size_t group, Standin::MemberIndex member);
 
-    /** Tells the platform's list which VMs are there; without it, a dead VM stays listed. */
+    /** Updates the platform's list to the running VMs; without this call a killed VM stays listed. */
     void publishVms();
-    /** Hands \p configuration to every proxy that runs. */
+    /** Activates \p configuration on every running proxy. */
     void applyConfiguration(const Configuration &configuration);
 
     [[nodiscard]] std::size_t proxies() const;
     [[nodiscard]] bool isUp(ProxyIndex proxy) const;
     [[nodiscard]] bool isAlive(ProxyIndex proxy) const;
-    /** A proxy that has exited after a drain. */
+    /** Returns whether the proxy has exited after a drain. */
     [[nodiscard]] bool hasExited(ProxyIndex proxy) const;
-    /** Requests that a proxy had taken in and not answered when it exited after a drain. */
+    /** Returns the number of requests that were received but unanswered when their proxy exited after a drain. */
     [[nodiscard]] std::size_t cutByExit() const;
     [[nodiscard]] ProxyState &state(ProxyIndex proxy);
     [[nodiscard]] std::size_t groups() const;
@@ -121,14 +121,14 @@
     [[nodiscard]] static GroupId groupId(std::size_t index);
     [[nodiscard]] std::size_t zoneOfMember(std::size_t group, Standin::MemberIndex member) const;
     [[nodiscard]] std::size_t zoneOfProxy(ProxyIndex proxy) const;
-    /** Index of the member that is primary of the highest term, dead or alive. */
+    /** Returns the index of the member that is primary of the highest term, whether it is running or not. */
     [[nodiscard]] Standin::MemberIndex primaryOf(std::size_t group) const;
-    /** Ends all faults of network, platform and members, and resumes and starts proxies. */
+    /** Ends all faults of network, platform and members, resumes paused proxies and starts stopped ones. */
     void healAll();
 
-    /** Lines of text about what callers, proxies and members exchange are added to \p lines; null ends it. */
+    /** Appends a trace of the messages between callers, proxies and members to \p lines; null disables the trace. */
     void setTrace(std::vector<std::string> *lines);
-    /** Adds a line of the test's own to the trace. */
+    /** Appends a line to the trace. */
     void note(const std::string &line);
     WorldHooks hooks_;
 
@@ -147,23 +147,23 @@
     {
         std::size_t group_ = 0;
         Standin::MemberIndex member_ = 0;
-        std::optional<Standin::LinkId> link_; ///< Empty while it opens.
+        std::optional<Standin::LinkId> link_; ///< Empty until the connection is established.
     };
     struct Proxy
     {
         VmInfo vm_;
         std::size_t zone_ = 0;
         Duration clockOffset_{};
-        std::unique_ptr<ProxyState> state_; ///< Empty when dead.
+        std::unique_ptr<ProxyState> state_; ///< Empty while the process is not running.
         bool paused_ = false;
         bool exited_ = false;
-        std::vector<EventBody> waiting_;
+        std::vector<EventBody> queuedEvents_;
         std::map<ConnectionId, UpstreamLink> links_;
         std::map<RequestId, CallerReply> callers_;
-        std::set<RequestId> taken_; ///< Requests that the process has taken in, and not answered.
-        std::uint64_t wakeUp_ = 0; ///< Number of the last ArmWakeUp; earlier ones are replaced.
+        std::set<RequestId> unanswered_; ///< Requests that the process has received and not answered.
+        std::uint64_t wakeUp_ = 0; ///< Number of the last ArmWakeUp; earlier ones are ignored.
         RequestId nextRequest_{1};
-        std::set<ControlId> probes_; ///< Under way; the trace leaves them out.
+        std::set<ControlId> probes_; ///< Probes in flight, which are not traced.
     };
     struct LinkOwner
     {
@@ -186,12 +186,12 @@
     using ConnectHandler = std::function<void(const Standin::ConnectReply &)>;
     using ControlHandler = std::function<void(const Standin::ControlReply &)>;
 
-    // World.cpp: proxies
+    // Proxies (World.cpp).
     void boot(ProxyIndex proxy);
     void deliver(ProxyIndex proxy, VmId incarnation, EventBody body);
-    void take(ProxyIndex proxy, EventBody body);
-    // WorldNetwork.cpp: messages between proxies and to the platform; WorldUpstreams.cpp: what goes to members
-    void carry(Place from, Place to, std::function<void()> action);
+    void processEvent(ProxyIndex proxy, EventBody body);
+    // Messages between proxies and to the platform (WorldNetwork.cpp) and to members (WorldUpstreams.cpp).
+    void transmit(Place from, Place to, std::function<void()> action);
     [[nodiscard]] bool isCut(Place a, Place b) const;
     [[nodiscard]] Duration delayBetween(Place a, Place b) const;
     void releaseHeld();
@@ -208,15 +208,15 @@
     void execute(ProxyIndex proxy, const ExitProcess &effect);
     void execute(ProxyIndex /*proxy*/, const SessionEffect & /*effect*/)
     {
-    } // These proxies speak figward's own protocol only.
+    } // The simulation supports only figward's own protocol.
     void sendOnLink(std::size_t group, Standin::LinkId link, Place from, Place to, const UpstreamStatement &statement);
     void loseLink(std::size_t group, Standin::LinkId link, Place proxyPlace, Place memberPlace);
     void onStatementReply(std::size_t group, const Standin::StatementReply &reply);
     void closeLink(std::size_t group, Standin::LinkId link, Place from, Place to);
     bool onConnected(ProxyIndex proxy, VmId incarnation, ConnectionId connection, const Standin::ConnectReply &reply);
-    void pumpGroup(std::size_t group);
+    void scheduleGroupReplies(std::size_t group);
     void onGroupReply(std::size_t group, const Standin::GroupReply::Body &body);
-    void pumpPlatform();
+    void schedulePlatformReplies();
     bool happens(unsigned percent);
     [[nodiscard]] Place placeOf(ProxyIndex proxy) const;
     [[nodiscard]] Place placeOfMember(std::size_t group, Standin::MemberIndex member) const;
@@ -240,12 +240,12 @@
     std::set<std::size_t> platformCuts_;
     PeerFaults peerFaults_;
     std::vector<Held> held_;
-    std::vector<std::map<Standin::LinkId, LinkOwner>> linkOwners_; ///< By group.
+    std::vector<std::map<Standin::LinkId, LinkOwner>> linkOwners_; ///< Indexed by group.
     std::map<Standin::ReplyTag, ConnectHandler> connects_;
     std::map<Standin::ReplyTag, ControlHandler> controls_;
     std::map<Standin::PlatformTag, std::function<void(const PlatformAnswer &)>> platformCalls_;
     std::size_t cutByExit_ = 0;
-    std::size_t atThisInstant_ = 0; ///< Events since time last moved on.
+    std::size_t eventsAtThisInstant_ = 0; ///< Number of events since the virtual time last advanced.
     std::vector<std::string> *trace_ = nullptr;
 };
 
--- a/test/support/WorldNetwork.cpp
+++ b/test/support/WorldNetwork.cpp
@@ -47,8 +47,8 @@
     peerFaults_ = faults;
 }
 
-/** Has \p action happen when a message from \p from reaches \p to; a message that meets a cut waits until it is healed. */
-void World::carry(Place from, Place to, std::function<void()> action)
+/** Runs \p action when a message from \p from arrives at \p to; a message that meets a network cut is held until the cut is healed. */
+void World::transmit(Place from, Place to, std::function<void()> action)
 {
     schedule(now_ + delayBetween(from, to), [this, from, to, action = std::move(action)]() mutable {
         if (isCut(from, to)) {
@@ -77,15 +77,15 @@
 
 void World::releaseHeld()
 {
-    std::vector<Held> still;
+    std::vector<Held> stillHeld;
     for (Held &held : std::exchange(held_, {})) {
         if (isCut(held.from_, held.to_)) {
-            still.push_back(std::move(held));
+            stillHeld.push_back(std::move(held));
         } else {
-            carry(held.from_, held.to_, std::move(held.action_));
+            transmit(held.from_, held.to_, std::move(held.action_));
         }
     }
-    held_ = std::move(still);
+    held_ = std::move(stillHeld);
 }
 
 void World::execute(ProxyIndex proxy, const Effect &effect)
@@ -101,7 +101,7 @@
     }
     schedule(now_, [reply = caller->second, answer = effect.answer_] { reply(answer); });
     proxies_[proxy].callers_.erase(caller);
-    proxies_[proxy].taken_.erase(effect.id_);
+    proxies_[proxy].unanswered_.erase(effect.id_);
 }
 
 void World::execute(ProxyIndex proxy, const SendPeer &effect)
@@ -110,7 +110,7 @@
     const auto lose = [this, proxy, sender, address = effect.address_] { deliver(proxy, sender, PeerLost{address}); };
     const std::optional<ProxyIndex> peer = proxyAt(effect.address_);
     if (!peer || !proxies_[*peer].state_ || happens(peerFaults_.dropPercent_)) {
-        schedule(now_ + config_.lossNoticed_, lose);
+        schedule(now_ + config_.lossDetectionDelay_, lose);
         return;
     }
     const Place from = placeOf(proxy);
@@ -119,22 +119,22 @@
         deliver(to, incarnation, PeerReceived{message});
     };
     if (isCut(from, to)) {
-        schedule(now_ + config_.lossNoticed_, [this, from, to, lose] {
+        schedule(now_ + config_.lossDetectionDelay_, [this, from, to, lose] {
             if (isCut(from, to)) {
                 lose();
             }
         });
         if (happens(half)) {
-            return; // The connection is given up on with the message; otherwise it arrives after the cut.
+            return; // Half of the messages are lost with their connection; the others arrive after the cut is healed.
         }
     }
     const Duration delay = happens(peerFaults_.delayPercent_) ? peerFaults_.delay_ : Duration::zero();
     const int copies = happens(peerFaults_.doublePercent_) ? 2 : 1;
     for (int copy = 0; copy < copies; ++copy) {
         if (delay == Duration::zero()) {
-            carry(from, to, arrive);
+            transmit(from, to, arrive);
         } else {
-            schedule(now_ + delay, [this, from, to, arrive] { carry(from, to, arrive); });
+            schedule(now_ + delay, [this, from, to, arrive] { transmit(from, to, arrive); });
         }
     }
 }
@@ -151,10 +151,10 @@
             deliver(proxy, incarnation, PlatformAnswered{answer});
         }
     };
-    platformCalls_[tag] = [this, from, platform, end](const PlatformAnswer &answer) { carry(platform, from, [end, answer] { end(answer); }); };
-    carry(from, platform, [this, tag, call = effect.call_] {
+    platformCalls_[tag] = [this, from, platform, end](const PlatformAnswer &answer) { transmit(platform, from, [end, answer] { end(answer); }); };
+    transmit(from, platform, [this, tag, call = effect.call_] {
         platform_->call(tag, call, now_);
-        pumpPlatform();
+        schedulePlatformReplies();
     });
     schedule(now_ + effect.call_.timeout_ + 2 * config_.toPlatform_ + Duration(1),
              [end, id = effect.call_.id_] { end({.id_ = id, .status_ = PlatformStatus::Lost}); });
@@ -178,11 +178,11 @@
 void World::execute(ProxyIndex proxy, const ExitProcess & /*effect*/)
 {
     proxies_[proxy].exited_ = true;
-    cutByExit_ += proxies_[proxy].taken_.size();
+    cutByExit_ += proxies_[proxy].unanswered_.size();
     killProxy(proxy);
 }
 
-void World::pumpPlatform()
+void World::schedulePlatformReplies()
 {
     for (const Standin::PlatformReply &reply : platform_->takeReplies(now_)) {
         schedule(reply.at_, [this, reply] {
@@ -195,7 +195,7 @@
         });
     }
     if (const std::optional<Time> next = platform_->nextTimeout()) {
-        schedule(*next, [this] { pumpPlatform(); });
+        schedule(*next, [this] { schedulePlatformReplies(); });
     }
 }
 
--- a/test/support/WorldUpstreams.cpp
+++ b/test/support/WorldUpstreams.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr Duration pauseCheck = std::chrono::milliseconds(1); // How often a member that paused before its answer left is looked at.
+constexpr Duration pausePollInterval = std::chrono::milliseconds(1); // Interval at which a member that paused before it sent its answer is checked.
 
 } // namespace
 
@@ -21,17 +21,17 @@
     const Place from = placeOf(proxy);
     const Place to = placeOfMember(group, member);
     connects_[tag] = [this, proxy, incarnation, connection, from, to, group](const Standin::ConnectReply &reply) {
-        carry(to, from, [this, proxy, incarnation, connection, from, to, group, reply] {
+        transmit(to, from, [this, proxy, incarnation, connection, from, to, group, reply] {
             if (!onConnected(proxy, incarnation, connection, reply) && !reply.refused_) {
-                closeLink(group, reply.link_, from, to); // Given up on while it opened.
+                closeLink(group, reply.link_, from, to); // The proxy abandoned the connection before it was established.
             }
         });
     };
-    carry(from, to, [this, group, member, tag] {
+    transmit(from, to, [this, group, member, tag] {
         groups_[group]->connect(member, tag, now_);
-        pumpGroup(group);
+        scheduleGroupReplies(group);
     });
-    schedule(now_ + config_.group_.connectTime_ + config_.lossNoticed_, [this, proxy, incarnation, connection] {
+    schedule(now_ + config_.group_.connectTime_ + config_.lossDetectionDelay_, [this, proxy, incarnation, connection] {
         const auto link = proxies_[proxy].links_.find(connection);
         const bool opening = proxies_[proxy].vm_.id_ == incarnation && link != proxies_[proxy].links_.end() && !link->second.link_;
         if (opening) {
@@ -77,15 +77,15 @@
     const Standin::ReplyTag tag(nextTag_++);
     const auto ended = std::make_shared<bool>(false);
     controls_[tag] = [this, proxy, incarnation, from, to, ended](const Standin::ControlReply &reply) {
-        carry(to, from, [this, proxy, incarnation, ended, answer = reply.answer_] {
+        transmit(to, from, [this, proxy, incarnation, ended, answer = reply.answer_] {
             if (!std::exchange(*ended, true)) {
                 deliver(proxy, incarnation, ControlAnswered{answer});
             }
         });
     };
-    carry(from, to, [this, group, member, tag, call = effect.call_] {
+    transmit(from, to, [this, group, member, tag, call = effect.call_] {
         groups_[group]->control(member, tag, call, now_);
-        pumpGroup(group);
+        scheduleGroupReplies(group);
     });
     schedule(now_ + effect.timeout_, [this, proxy, incarnation, ended, id = effect.call_.id_] {
         if (!std::exchange(*ended, true)) {
@@ -96,24 +96,24 @@
 
 void World::sendOnLink(std::size_t group, Standin::LinkId link, Place from, Place to, const UpstreamStatement &statement)
 {
-    carry(from, to, [this, group, link, from, to, statement] {
+    transmit(from, to, [this, group, link, from, to, statement] {
         if (!groups_[group]->isOpen(link)) {
             loseLink(group, link, from, to);
             return;
         }
         groups_[group]->send(link, statement, now_);
-        pumpGroup(group);
+        scheduleGroupReplies(group);
     });
 }
 
-/** The member does not know the connection any more, and says so. */
+/** Tells the proxy that the connection is closed at the member. */
 void World::loseLink(std::size_t group, Standin::LinkId link, Place proxyPlace, Place memberPlace)
 {
     const auto found = linkOwners_[group].find(link);
     if (found == linkOwners_[group].end()) {
         return;
     }
-    carry(memberPlace, proxyPlace, [this, owner = found->second] {
+    transmit(memberPlace, proxyPlace, [this, owner = found->second] {
         Proxy &proxy = proxies_[owner.proxy_];
         const bool open = proxy.vm_.id_ == owner.incarnation_ && proxy.links_.erase(owner.connection_) > 0;
         if (open) {
@@ -124,10 +124,10 @@
 
 void World::closeLink(std::size_t group, Standin::LinkId link, Place from, Place to)
 {
-    carry(from, to, [this, group, link] { groups_[group]->close(link, now_); });
+    transmit(from, to, [this, group, link] { groups_[group]->close(link, now_); });
 }
 
-/** Whether the proxy still waited for \p connection. */
+/** Handles the result of a connection attempt; returns whether the proxy still waited for \p connection. */
 bool World::onConnected(ProxyIndex proxy, VmId incarnation, ConnectionId connection, const Standin::ConnectReply &reply)
 {
     Proxy &opener = proxies_[proxy];
@@ -147,7 +147,7 @@
     return true;
 }
 
-void World::pumpGroup(std::size_t group)
+void World::scheduleGroupReplies(std::size_t group)
 {
     for (const Standin::GroupReply &reply : groups_[group]->takeReplies()) {
         schedule(reply.at_, [this, group, body = reply.body_] { onGroupReply(group, body); });
@@ -181,11 +181,11 @@
     }
     const Standin::MemberIndex member = model.memberOf(reply.link_);
     if (!model.isUp(member)) {
-        schedule(now_ + pauseCheck, [this, group, reply] { onStatementReply(group, reply); });
+        schedule(now_ + pausePollInterval, [this, group, reply] { onStatementReply(group, reply); });
         return;
     }
     const LinkOwner &owner = found->second;
-    carry(placeOfMember(group, member), placeOf(owner.proxy_), [this, owner, answer = reply.answer_] {
+    transmit(placeOfMember(group, member), placeOf(owner.proxy_), [this, owner, answer = reply.answer_] {
         Proxy &proxy = proxies_[owner.proxy_];
         if (proxy.vm_.id_ == owner.incarnation_ && proxy.links_.contains(owner.connection_)) {
             deliver(owner.proxy_, owner.incarnation_, UpstreamAnswered{owner.connection_, answer});
@@ -203,7 +203,7 @@
     return (group + member) % config_.zones_;
 }
 
-/** The group that has \p member, and its index there. */
+/** Returns the group of \p member and its index in that group. */
 World::MemberPlace World::memberAt(const MemberId &member) const
 {
     for (std::size_t group = 0; group < groups_.size(); ++group) {
