--- a/test/support/Fleet.cpp
+++ b/test/support/Fleet.cpp
@@ -49,7 +49,7 @@
 
 } // namespace
 
-bool Fleet::Later::operator()(const Due &a, const Due &b) const
+bool Fleet::Later::operator()(const ScheduledEvent &a, const ScheduledEvent &b) const
 {
     return std::tie(a.at_, a.order_) > std::tie(b.at_, b.order_);
 }
@@ -89,11 +89,11 @@
     const Time until = now_ + span;
     while (true) {
         collectPlatform();
-        if (due_.empty() || due_.top().at_ > until) {
+        if (queue_.empty() || queue_.top().at_ > until) {
             break;
         }
-        const Due next = due_.top();
-        due_.pop();
+        const ScheduledEvent next = queue_.top();
+        queue_.pop();
         now_ = std::max(now_, next.at_);
         next.action_();
     }
@@ -107,7 +107,7 @@
         return;
     }
     const Effects effects = reduce(target.state_, {now_, std::move(body)});
-    const bool configured = awaited_ && target.state_.configuration_.version_ >= *awaited_;
+    const bool configured = awaitedVersion_ && target.state_.configuration_.version_ >= *awaitedVersion_;
     if (configured && !target.configuredAt_) {
         target.configuredAt_ = now_;
     }
@@ -144,7 +144,7 @@
 
 void Fleet::awaitVersion(ConfigVersion version)
 {
-    awaited_ = version;
+    awaitedVersion_ = version;
     for (FleetVm &vm : vms_) {
         vm.configuredAt_.reset();
     }
@@ -228,7 +228,7 @@
 
 void Fleet::at(Time time, std::function<void()> action)
 {
-    due_.push({std::max(time, now_), nextOrder_++, std::move(action)});
+    queue_.push({std::max(time, now_), nextOrder_++, std::move(action)});
 }
 
 std::size_t Fleet::startVm(unsigned zone)
@@ -396,11 +396,11 @@
 void Fleet::collectGroup(const GroupId &group)
 {
     for (const Standin::GroupReply &reply : groups_.at(group)->takeReplies()) {
-        at(reply.at_ + upstreamLatency, [this, group, reply] { takeGroupReply(group, reply); });
+        at(reply.at_ + upstreamLatency, [this, group, reply] { handleGroupReply(group, reply); });
     }
 }
 
-void Fleet::takeGroupReply(const GroupId &group, const Standin::GroupReply &reply)
+void Fleet::handleGroupReply(const GroupId &group, const Standin::GroupReply &reply)
 {
     const Overloaded handle{
         [&](const Standin::ConnectReply &body) {
--- a/test/support/Fleet.h
+++ b/test/support/Fleet.h
@@ -89,7 +89,7 @@
     void setMeasuring(bool measuring);
 
 private:
-    struct Due
+    struct ScheduledEvent
     {
         Time at_;
         std::uint64_t order_ = 0;
@@ -97,7 +97,7 @@
     };
     struct Later
     {
-        bool operator()(const Due &a, const Due &b) const;
+        bool operator()(const ScheduledEvent &a, const ScheduledEvent &b) const;
     };
     struct Link
     {
@@ -122,14 +122,14 @@
     void deliver(Standin::PlatformReply reply);
     void open(std::size_t vm, const OpenConnection &effect);
     void collectGroup(const GroupId &group);
-    void takeGroupReply(const GroupId &group, const Standin::GroupReply &reply);
+    void handleGroupReply(const GroupId &group, const Standin::GroupReply &reply);
     [[nodiscard]] unsigned zoneOf(std::size_t vm) const;
     std::optional<GroupId> groupOf(const MemberId &member) const;
 
     FleetOptions options_;
     Time now_;
     std::uint64_t nextOrder_ = 0;
-    std::priority_queue<Due, std::vector<Due>, Later> due_;
+    std::priority_queue<ScheduledEvent, std::vector<ScheduledEvent>, Later> queue_;
     std::vector<FleetVm> vms_;
     std::map<std::string, std::size_t> byAddress_;
     std::set<std::size_t> unlisted_;
@@ -146,7 +146,7 @@
     std::map<Standin::LinkId, std::pair<std::size_t, ConnectionId>> linkOwners_;
     std::map<Standin::ReplyTag, Control> controls_;
     std::function<void(Fleet &, std::size_t)> observer_;
-    std::optional<ConfigVersion> awaited_;
+    std::optional<ConfigVersion> awaitedVersion_;
     bool measuring_ = false;
 };
 
--- a/test/support/SessionWorld.cpp
+++ b/test/support/SessionWorld.cpp
@@ -68,7 +68,7 @@
     return absl::StrCat("zone-", number % zones);
 }
 
-/** What LogWriter makes of an event. */
+/** Returns the line that LogWriter writes for an event. */
 std::string logLine(Time now, const std::string &process, const WriteLog &event)
 {
     const std::chrono::sys_days day{std::chrono::year(2026) / 1 / 2};
@@ -155,10 +155,10 @@
     place.state_->sessions_->identity_.vm_ = EntryVm{place.name_, VmId(place.incarnation_), place.address_, place.zone_};
     place.state_->sessions_->identity_.drainTime_ = std::chrono::seconds(6);
     place.connections_.clear();
-    place.held_.clear();
+    place.queuedEvents_.clear();
     place.frozen_ = false;
     const std::uint64_t incarnation = place.incarnation_;
-    schedule(now_ + Duration(random_() % 100000), [this, vm, incarnation] { give(vm, incarnation, Started{}); });
+    schedule(now_ + Duration(random_() % 100000), [this, vm, incarnation] { deliverEvent(vm, incarnation, Started{}); });
 }
 
 void SessionWorld::killVm(unsigned vm)
@@ -180,31 +180,31 @@
     if (frozen) {
         return;
     }
-    for (EventBody &body : std::exchange(vms_[vm].held_, {})) {
-        give(vm, std::move(body));
+    for (EventBody &body : std::exchange(vms_[vm].queuedEvents_, {})) {
+        deliverEvent(vm, std::move(body));
     }
 }
 
 void SessionWorld::drainVm(unsigned vm)
 {
-    give(vm, DrainAsked{});
+    deliverEvent(vm, DrainAsked{});
 }
 
-void SessionWorld::give(unsigned vm, std::uint64_t incarnation, EventBody body)
+void SessionWorld::deliverEvent(unsigned vm, std::uint64_t incarnation, EventBody body)
 {
     if (vms_[vm].state_ && vms_[vm].incarnation_ == incarnation) {
-        give(vm, std::move(body));
+        deliverEvent(vm, std::move(body));
     }
 }
 
-void SessionWorld::give(unsigned vm, EventBody body)
+void SessionWorld::deliverEvent(unsigned vm, EventBody body)
 {
     Vm &place = vms_[vm];
     if (!place.state_) {
         return;
     }
     if (place.frozen_) {
-        place.held_.push_back(std::move(body));
+        place.queuedEvents_.push_back(std::move(body));
         return;
     }
     if (beforeEvent_) {
@@ -226,7 +226,7 @@
             const std::uint64_t number = ++vms_[vm].wakeUp_;
             schedule(body.at_, [this, vm, number, incarnation] {
                 if (vms_[vm].wakeUp_ == number) {
-                    give(vm, incarnation, WakeUp{});
+                    deliverEvent(vm, incarnation, WakeUp{});
                 }
             });
         },
@@ -241,7 +241,7 @@
         },
         [&](const ExitProcess &) { killVm(vm); },
         [&](const SessionEffect &body) { perform(vm, body); },
-        [](const auto &) {}, // Of figward's own protocol.
+        [](const auto &) {}, // Effects of figward's own protocol.
     };
     std::visit(handle, effect);
 }
@@ -260,7 +260,7 @@
                 client->closed_ = true;
             }
         },
-        [&](const AnswerSession &body) { takeAnswer(vm, body); },
+        [&](const AnswerSession &body) { recordAnswer(vm, body); },
         [&](const CloseSession &body) {
             if (WorldClient *client = findClient(vm, body.session_)) {
                 client->closed_ = true;
@@ -289,7 +289,7 @@
     const unsigned to = static_cast<unsigned>(std::stoul(address));
     schedule(now_ + config_.networkDelay_, [this, vm, to, event] {
         if (!vmCuts_.contains(std::minmax(vm, to))) {
-            give(to, event);
+            deliverEvent(to, event);
         }
     });
 }
--- a/test/support/SessionWorldClients.cpp
+++ b/test/support/SessionWorldClients.cpp
@@ -16,7 +16,7 @@
     const std::size_t number = database.find('-');
     client.group_ = number == std::string::npos ? 0 : static_cast<unsigned>(std::stoul(database.substr(number + 1)));
     clients_.push_back(client);
-    give(vm, SessionEvent(SessionOpened{client.key_, database, key.empty() ? std::nullopt : std::optional(digestOf(key))}));
+    deliverEvent(vm, SessionEvent(SessionOpened{client.key_, database, key.empty() ? std::nullopt : std::optional(digestOf(key))}));
     return clients_.size() - 1;
 }
 
@@ -45,13 +45,13 @@
     }
     const bool inTransaction = transactionNeeds_.contains(number);
     const bool begins = statement.kind_ == StatementKind::Begin || statement.kind_ == StatementKind::BeginRead;
-    noteOperation(client, statement, begins || !inTransaction);
+    recordOperation(client, statement, begins || !inTransaction);
     if (inTransaction && statement.kind_ == StatementKind::Write) {
         transactionWrites_[number] = statement.id_;
     }
     client.sent_.insert(statement.id_);
     client.unanswered_.push_back(statement.id_);
-    give(client.vm_, SessionEvent(StatementArrived{client.key_, statement}));
+    deliverEvent(client.vm_, SessionEvent(StatementArrived{client.key_, statement}));
 }
 
 void SessionWorld::setWork(const std::string &id, Duration work)
@@ -67,7 +67,7 @@
 void SessionWorld::close(std::size_t client)
 {
     clients_[client].closed_ = true;
-    give(clients_[client].vm_, SessionEvent(SessionClosed{clients_[client].key_}));
+    deliverEvent(clients_[client].vm_, SessionEvent(SessionClosed{clients_[client].key_}));
 }
 
 const SessionReply *SessionWorld::answerTo(std::size_t client, const std::string &id) const
@@ -98,18 +98,18 @@
 
 WorldClient *SessionWorld::findClient(unsigned vm, SessionKey key)
 {
-    WorldClient &client = clients_.at(key.value() - 1); // Keys are numbers in the order of opening.
+    WorldClient &client = clients_.at(key.value() - 1); // Session keys are numbered in the order of opening, from 1.
     return client.vm_ == vm && !client.closed_ ? &client : nullptr;
 }
 
-void SessionWorld::takeAnswer(unsigned vm, const AnswerSession &effect)
+void SessionWorld::recordAnswer(unsigned vm, const AnswerSession &effect)
 {
     WorldClient *client = findClient(vm, effect.session_);
     if (client == nullptr) {
         return;
     }
     if (client->unanswered_.empty()) {
-        violate("an answer to nothing");
+        reportViolation("an answer to a session that has no pending statement");
         return;
     }
     const std::string id = client->unanswered_.front();
@@ -121,23 +121,23 @@
     }
     const bool done = effect.reply_.code_ == ReplyCode::None;
     if (done && effect.reply_.receipt_ != "-" && effect.reply_.receipt_ != absl::StrCat("receipt-", id)) {
-        violate(absl::StrCat("statement ", id, " was answered with ", effect.reply_.receipt_));
+        reportViolation(absl::StrCat("statement ", id, " was answered with ", effect.reply_.receipt_));
     }
     if (done && !effect.reply_.rows_.empty()) {
         checkRead(*client, answer);
     }
     if (guaranteesNotRun(effect.reply_.code_) || effect.reply_.code_ == ReplyCode::Aborted) {
-        promisedNotRun_.insert(id);
+        reportedNotRun_.insert(id);
     }
     if (!done) {
         return;
     }
-    noteAcknowledged(*client, answer);
+    recordAcknowledgedWrite(*client, answer);
 }
 
-void SessionWorld::noteAcknowledged(WorldClient &client, const ClientAnswer &answer)
+void SessionWorld::recordAcknowledgedWrite(WorldClient &client, const ClientAnswer &answer)
 {
-    // Of a transaction, the log holds the writes and not the commit: its last one stands for all.
+    // The log holds the writes of a transaction but not its commit, so the last write represents the transaction.
     std::string write = answer.id_;
     if (const auto writes = transactionWrites_.find(&client - clients_.data()); writes != transactionWrites_.end()) {
         const bool committed = answer.reply_.state_ == TransactionState::None;
@@ -149,16 +149,16 @@
     const Standin::LineGroupModel &group = groups_[client.group_];
     const Standin::LineMember &leader = group.leader();
     for (const auto &[member, state] : group.members()) {
-        // An answer comes soon after its commit: only the end of the log can hold it.
-        constexpr std::size_t searched = 300;
-        const std::size_t first = state.log_.size() > searched ? state.log_.size() - searched : 0;
+        // An answer arrives soon after its commit, so the commit can only be at the end of the log.
+        constexpr std::size_t searchedEntries = 300;
+        const std::size_t first = state.log_.size() > searchedEntries ? state.log_.size() - searchedEntries : 0;
         for (std::size_t entry = first; entry < state.log_.size(); ++entry) {
             const Standin::LineCommit &commit = state.log_[entry];
             if (std::ranges::find(commit.statements_, write) == commit.statements_.end()) {
                 continue;
             }
             if (state.primary_ && state.term_ < leader.term_ && !Standin::holds(leader.log_, commit.point_)) {
-                violate(absl::StrCat("write ", write, " was acknowledged by the replaced primary ", member.value()));
+                reportViolation(absl::StrCat("write ", write, " was acknowledged by the replaced primary ", member.value()));
             }
             acknowledged_.push_back(Acknowledged{write, client.group_, commit.point_, now_});
             client.lastCommit_ = commit.point_;
@@ -183,16 +183,16 @@
         const bool counts = route.consistency_ == Consistency::Primary || own || age > route.maxStaleness_;
         const bool rolledBack = !Standin::holds(leader.log_, commit.point_);
         if (before && counts && !rolledBack) {
-            violate(absl::StrCat("read ",
-                                 answer.id_,
-                                 " of ",
-                                 client.database_,
-                                 " at ",
-                                 answer.reply_.rows_.front(),
-                                 " lacks ",
-                                 commit.id_,
-                                 " at ",
-                                 commit.point_.position_.value()));
+            reportViolation(absl::StrCat("read ",
+                                         answer.id_,
+                                         " of ",
+                                         client.database_,
+                                         " at ",
+                                         answer.reply_.rows_.front(),
+                                         " lacks ",
+                                         commit.id_,
+                                         " at ",
+                                         commit.point_.position_.value()));
             return;
         }
     }
@@ -205,17 +205,17 @@
         for (const Standin::LineCommit &commit : group.leader().log_) {
             for (const std::string &statement : commit.statements_) {
                 if (++runs[statement] > 1) {
-                    violate(absl::StrCat("write ", statement, " ran twice"));
+                    reportViolation(absl::StrCat("write ", statement, " ran twice"));
                 }
-                if (promisedNotRun_.contains(statement)) {
-                    violate(absl::StrCat("write ", statement, " ran, though its client was told that it had not"));
+                if (reportedNotRun_.contains(statement)) {
+                    reportViolation(absl::StrCat("write ", statement, " ran, though its client was told that it had not"));
                 }
             }
         }
     }
 }
 
-void SessionWorld::violate(const std::string &what)
+void SessionWorld::reportViolation(const std::string &what)
 {
     note(what);
     violations_.push_back(absl::StrCat("at ", toMillis(now_.time_since_epoch()), " ms: ", what));
--- a/test/support/SessionWorldMembers.cpp
+++ b/test/support/SessionWorldMembers.cpp
@@ -18,7 +18,7 @@
 ConnectionId SessionWorld::worldConnection(unsigned vm, ConnectionId connection) const
 {
     constexpr std::uint64_t perVm = std::uint64_t{1} << 32U;
-    // An incarnation starts counting anew; its connections must not be taken for those of the one before.
+    // Each incarnation numbers its connections from the start; they must not be confused with those of the previous incarnation.
     return ConnectionId((vms_[vm].incarnation_ % perVm) * perVm + connection.value());
 }
 
@@ -26,16 +26,16 @@
 {
     const unsigned member = numberOf(effect.member_);
     vms_[vm].connections_[effect.connection_] = member;
-    vms_[vm].callers_[effect.connection_] = effect.organisation_;
+    vms_[vm].connectionOrganisations_[effect.connection_] = effect.organisation_;
     const std::uint64_t incarnation = vms_[vm].incarnation_;
     if (vmMemberCuts_.contains({vm, member})) {
         if (cutsReset_) {
             vms_[vm].connections_.erase(effect.connection_);
             schedule(now_ + config_.networkDelay_, [this, vm, incarnation, effect] {
-                give(vm, incarnation, ConnectionLost{effect.connection_, ConnectionEnd::Unreachable});
+                deliverEvent(vm, incarnation, ConnectionLost{effect.connection_, ConnectionEnd::Unreachable});
             });
         }
-        return; // Packets are lost; the proxy's own time-out ends it.
+        return; // Packets are lost; the proxy's own timeout ends the connection attempt.
     }
     if (config_.slots_ != 0) {
         schedule(now_ + config_.networkDelay_, [this, vm, member, incarnation, effect] { openAtBusyMember(vm, member, incarnation, effect); });
@@ -45,41 +45,41 @@
         if (vms_[vm].incarnation_ != incarnation || !vms_[vm].connections_.contains(effect.connection_)) {
             return;
         }
-        if (!refuseOpening(vm, member, effect) && !vmMemberCuts_.contains({vm, member})) {
+        if (!refuseIfUnavailable(vm, member, effect) && !vmMemberCuts_.contains({vm, member})) {
             groupOf(member).connect(worldConnection(vm, effect.connection_), effect.member_);
-            give(vm, incarnation, ConnectionOpened{effect.connection_});
+            deliverEvent(vm, incarnation, ConnectionOpened{effect.connection_});
         }
     });
 }
 
-bool SessionWorld::refuseOpening(unsigned vm, unsigned member, const OpenConnection &effect)
+bool SessionWorld::refuseIfUnavailable(unsigned vm, unsigned member, const OpenConnection &effect)
 {
     const bool up = groupOf(member).member(effect.member_).up_;
     if (up && !isFull(member)) {
         return false;
     }
     vms_[vm].connections_.erase(effect.connection_);
-    give(vm, vms_[vm].incarnation_, ConnectionLost{effect.connection_, up ? ConnectionEnd::Refused : ConnectionEnd::Unreachable});
+    deliverEvent(vm, vms_[vm].incarnation_, ConnectionLost{effect.connection_, up ? ConnectionEnd::Refused : ConnectionEnd::Unreachable});
     return true;
 }
 
 void SessionWorld::openAtBusyMember(unsigned vm, unsigned member, std::uint64_t incarnation, const OpenConnection &effect)
 {
-    const auto isWanted = [this, vm, incarnation, effect] {
+    const auto isAwaited = [this, vm, incarnation, effect] {
         return vms_[vm].incarnation_ == incarnation && vms_[vm].connections_.contains(effect.connection_);
     };
-    if (!isWanted() || refuseOpening(vm, member, effect) || vmMemberCuts_.contains({vm, member})) {
+    if (!isAwaited() || refuseIfUnavailable(vm, member, effect) || vmMemberCuts_.contains({vm, member})) {
         return;
     }
     groupOf(member).connect(worldConnection(vm, effect.connection_), effect.member_);
-    schedule(workDone(member, now_, config_.openTime_) + config_.networkDelay_, [this, vm, member, incarnation, effect, isWanted] {
-        if (isWanted() && !vmMemberCuts_.contains({vm, member})) {
-            give(vm, incarnation, ConnectionOpened{effect.connection_});
+    schedule(scheduleWork(member, now_, config_.openTime_) + config_.networkDelay_, [this, vm, member, incarnation, effect, isAwaited] {
+        if (isAwaited() && !vmMemberCuts_.contains({vm, member})) {
+            deliverEvent(vm, incarnation, ConnectionOpened{effect.connection_});
         }
     });
 }
 
-Time SessionWorld::workDone(unsigned member, Time arrives, Duration work)
+Time SessionWorld::scheduleWork(unsigned member, Time arrives, Duration work)
 {
     if (config_.slots_ == 0) {
         return arrives + work;
@@ -106,7 +106,7 @@
     const Time arrives = now_ + config_.networkDelay_;
     const auto connection = vms_[vm].connections_.find(effect.connection_);
     const bool held = works && connection != vms_[vm].connections_.end();
-    const Time done = held ? workDone(connection->second, arrives, work) : arrives + work;
+    const Time done = held ? scheduleWork(connection->second, arrives, work) : arrives + work;
     schedule(done, [this, vm, incarnation, effect] { runAtMember(vm, incarnation, effect); });
 }
 
@@ -129,7 +129,7 @@
     checkOrganisation(vm, effect, answer->reply_);
     schedule(now_ + config_.networkDelay_, [this, vm, incarnation, member, effect, answer] {
         if (!vmMemberCuts_.contains({vm, member})) {
-            give(vm, incarnation, SessionEvent(MemberReplyArrived{effect.connection_, answer->reply_, answer->report_}));
+            deliverEvent(vm, incarnation, SessionEvent(MemberReplyArrived{effect.connection_, answer->reply_, answer->report_}));
         }
     });
 }
@@ -152,7 +152,7 @@
         for (const ConnectionId connection : lost) {
             vms_[vm].connections_.erase(connection);
             schedule(now_ + config_.networkDelay_, [this, vm, connection, incarnation = vms_[vm].incarnation_] {
-                give(vm, incarnation, ConnectionLost{connection, ConnectionEnd::Closed});
+                deliverEvent(vm, incarnation, ConnectionLost{connection, ConnectionEnd::Closed});
             });
         }
     }
@@ -179,17 +179,17 @@
     const std::uint64_t incarnation = vms_[vm].incarnation_;
     if (promotionsDown_) {
         schedule(now_ + effect.timeout_, [this, vm, incarnation, effect] {
-            give(vm, incarnation, SessionEvent(PromotionAnswered{effect.group_, effect.member_, 0}));
+            deliverEvent(vm, incarnation, SessionEvent(PromotionAnswered{effect.group_, effect.member_, 0}));
         });
         return;
     }
-    const std::string &holder = holders_.try_emplace({effect.group_, effect.generation_}, vms_[vm].name_).first->second;
-    if (holder != vms_[vm].name_) {
-        violate(absl::StrCat("two VMs promote with generation ", effect.generation_));
+    const std::string &promoter = promoters_.try_emplace({effect.group_, effect.generation_}, vms_[vm].name_).first->second;
+    if (promoter != vms_[vm].name_) {
+        reportViolation(absl::StrCat("two VMs promote with generation ", effect.generation_));
     }
     std::uint64_t &highest = highestGenerations_[effect.group_];
     if (effect.generation_ < highest) {
-        violate(absl::StrCat("a promotion with generation ", effect.generation_, " after ", highest));
+        reportViolation(absl::StrCat("a promotion with generation ", effect.generation_, " after ", highest));
     }
     highest = std::max(highest, effect.generation_);
     Standin::LineGroupModel &group = groupOf(numberOf(effect.member_));
@@ -197,7 +197,7 @@
     constexpr unsigned accepted = 200;
     constexpr unsigned notRunning = 409;
     schedule(now_ + 2 * config_.networkDelay_, [this, vm, incarnation, effect, running] {
-        give(vm, incarnation, SessionEvent(PromotionAnswered{effect.group_, effect.member_, running ? accepted : notRunning}));
+        deliverEvent(vm, incarnation, SessionEvent(PromotionAnswered{effect.group_, effect.member_, running ? accepted : notRunning}));
     });
     note(absl::StrCat("promotion of ", effect.member_.value(), " asked by ", vm));
     if (running) {
--- a/test/support/SessionWorldOrganisations.cpp
+++ b/test/support/SessionWorldOrganisations.cpp
@@ -15,25 +15,25 @@
     return absl::StrCat("key-", organisation);
 }
 
-void SessionWorld::noteOperation(const WorldClient &client, const ClientStatement &statement, bool begins)
+void SessionWorld::recordOperation(const WorldClient &client, const ClientStatement &statement, bool begins)
 {
     if (begins) {
         operations_.insert(statement.id_);
     }
     if (!client.keyName_.empty()) {
-        askedBy_[statement.id_] = OrganisationId(absl::StrCat("org-", client.keyName_.substr(client.keyName_.find('-') + 1)));
+        requestingOrganisations_[statement.id_] = OrganisationId(absl::StrCat("org-", client.keyName_.substr(client.keyName_.find('-') + 1)));
     }
 }
 
 void SessionWorld::checkOrganisation(unsigned vm, const SendToMember &effect, const SessionReply &reply)
 {
-    const auto asked = askedBy_.find(effect.request_.id_);
-    if (asked == askedBy_.end() || guaranteesNotRun(reply.code_)) {
+    const auto asked = requestingOrganisations_.find(effect.request_.id_);
+    if (asked == requestingOrganisations_.end() || guaranteesNotRun(reply.code_)) {
         return;
     }
-    const OrganisationId &told = vms_[vm].callers_.at(effect.connection_);
+    const OrganisationId &told = vms_[vm].connectionOrganisations_.at(effect.connection_);
     if (told != asked->second) {
-        violate(absl::StrCat(effect.request_.id_, " of ", asked->second.value(), " ran for ", told.value()));
+        reportViolation(absl::StrCat(effect.request_.id_, " of ", asked->second.value(), " ran for ", told.value()));
     }
     if (operations_.contains(effect.request_.id_)) {
         operationsRun_[asked->second].push_back(now_);
--- a/test/support/SessionWorldStore.cpp
+++ b/test/support/SessionWorldStore.cpp
@@ -27,9 +27,9 @@
 void SessionWorld::garbleEntry(const std::string &name, bool garbled)
 {
     if (garbled) {
-        store_.garbled_.insert(name);
+        store_.unreadableEntries_.insert(name);
     } else {
-        store_.garbled_.erase(name);
+        store_.unreadableEntries_.erase(name);
     }
     ++store_.revision_;
 }
@@ -43,7 +43,7 @@
 
 void SessionWorld::watchesAreSilent(bool silent)
 {
-    silentWatches_ = silent;
+    watchesMissChanges_ = silent;
 }
 
 void SessionWorld::dropHistory()
@@ -53,14 +53,14 @@
 
 void SessionWorld::garbleEvents(bool garbled)
 {
-    garbledEvents_ = garbled;
+    unreadableEvents_ = garbled;
 }
 
 void SessionWorld::silenceStoreConnections(unsigned vm)
 {
-    constexpr unsigned keptConnections = 3;
-    vms_[vm].silentConnections_ = keptConnections;
-    ++vms_[vm].silences_;
+    constexpr unsigned existingConnections = 3;
+    vms_[vm].silentConnections_ = existingConnections;
+    ++vms_[vm].silenceCount_;
 }
 
 void SessionWorld::mirrorsAreCutFrom(unsigned vm, bool cut)
@@ -70,30 +70,30 @@
 
 void SessionWorld::configurationTakes(Duration transfer)
 {
-    transfer_ = transfer;
+    configurationTransferTime_ = transfer;
 }
 
 void SessionWorld::watchesAreDeaf(bool deaf)
 {
-    deafWatches_ = deaf;
+    longWatchesMissChanges_ = deaf;
 }
 
 void SessionWorld::answerConfiguration(unsigned vm, const StoreCall &call, StoreAnswered answer, Time askedAt)
 {
     const std::uint64_t incarnation = vms_[vm].incarnation_;
     const Time end = askedAt + call.timeout_;
-    const Time arrives = now_ + transfer_;
-    give(vm, incarnation, SessionEvent(StoreAnswerBegan{call.id_}));
+    const Time arrives = now_ + configurationTransferTime_;
+    deliverEvent(vm, incarnation, SessionEvent(StoreAnswerBegan{call.id_}));
     if (arrives > end) {
         answer = StoreAnswered{call.id_, StoreResult::Unknown, {}};
     }
-    schedule(std::min(arrives, end), [this, vm, incarnation, answer = std::move(answer)] { give(vm, incarnation, SessionEvent(answer)); });
+    schedule(std::min(arrives, end), [this, vm, incarnation, answer = std::move(answer)] { deliverEvent(vm, incarnation, SessionEvent(answer)); });
 }
 
-void SessionWorld::answerNothing(unsigned vm, const StoreCall &call)
+void SessionWorld::endCallAtTimeout(unsigned vm, const StoreCall &call)
 {
     schedule(now_ + call.timeout_, [this, vm, incarnation = vms_[vm].incarnation_, id = call.id_] {
-        give(vm, incarnation, SessionEvent(StoreAnswered{id, StoreResult::Unknown, {}}));
+        deliverEvent(vm, incarnation, SessionEvent(StoreAnswered{id, StoreResult::Unknown, {}}));
     });
 }
 
@@ -103,13 +103,13 @@
     const std::uint64_t incarnation = vms_[vm].incarnation_;
     if (!call.source_.newConnection_ && vms_[vm].silentConnections_ > 0) {
         --vms_[vm].silentConnections_;
-        answerNothing(vm, call);
+        endCallAtTimeout(vm, call);
         return;
     }
     const bool lost = storeDown_ || storeCuts_.contains(vm);
     const bool isWrite = std::holds_alternative<WriteClaim>(call.request_) || std::holds_alternative<RegisterVm>(call.request_);
     if (const auto *watch = std::get_if<WatchConfiguration>(&call.request_)) {
-        // Answers as soon as there is a change, or at the end of the wait.
+        // The watch is answered as soon as there is a change, or at the end of its wait.
         const auto poll = std::make_shared<std::function<void()>>();
         const Time end = now_ + watch->wait_;
         constexpr Duration longWait = std::chrono::milliseconds(100);
@@ -119,29 +119,29 @@
                  call,
                  waitsLong = watch->wait_ > longWait,
                  since = watch->sinceRevision_,
-                 silences = vms_[vm].silences_,
+                 silences = vms_[vm].silenceCount_,
                  end,
                  poll,
                  askedAt = now_] {
-            const bool hears = (!deafWatches_ || !waitsLong) && silences == vms_[vm].silences_;
-            if (since < store_.oldestRevision_ && silences == vms_[vm].silences_ && !storeDown_ && !storeCuts_.contains(vm)) {
-                give(vm, incarnation, SessionEvent(StoreAnswered{call.id_, StoreResult::HistoryGone, {}}));
+            const bool hears = (!longWatchesMissChanges_ || !waitsLong) && silences == vms_[vm].silenceCount_;
+            if (since < store_.oldestRevision_ && silences == vms_[vm].silenceCount_ && !storeDown_ && !storeCuts_.contains(vm)) {
+                deliverEvent(vm, incarnation, SessionEvent(StoreAnswered{call.id_, StoreResult::HistoryGone, {}}));
                 schedule(now_, [poll] { *poll = nullptr; });
                 return;
             }
-            const bool changed = hears && store_.configurationRevision_ > since && !silentWatches_ && !storeDown_ && !storeCuts_.contains(vm);
+            const bool changed = hears && store_.configurationRevision_ > since && !watchesMissChanges_ && !storeDown_ && !storeCuts_.contains(vm);
             if (!changed && now_ < end && vms_[vm].incarnation_ == incarnation) {
                 schedule(now_ + std::chrono::milliseconds(5), *poll);
                 return;
             }
             StoreAnswered answer{call.id_, StoreResult::Done, ConfigurationRead{store_.revision_, std::nullopt}};
-            if (changed && garbledEvents_) {
-                give(vm, incarnation, SessionEvent(StoreAnswered{call.id_, StoreResult::Unreadable, {}}));
+            if (changed && unreadableEvents_) {
+                deliverEvent(vm, incarnation, SessionEvent(StoreAnswered{call.id_, StoreResult::Unreadable, {}}));
             } else if (changed) {
                 answer.content_ = ConfigurationRead{store_.revision_, store_.configuration_};
                 answerConfiguration(vm, call, answer, askedAt);
             } else {
-                give(vm, incarnation, SessionEvent(answer));
+                deliverEvent(vm, incarnation, SessionEvent(answer));
             }
             schedule(now_, [poll] { *poll = nullptr; });
         };
@@ -154,15 +154,15 @@
             if (!cut) {
                 execute(call);
             }
-            answerNothing(vm, call);
+            endCallAtTimeout(vm, call);
             return;
         }
         StoreAnswered answer = execute(call);
-        if (transfer_ > Duration(0) && std::holds_alternative<ReadConfiguration>(call.request_)) {
+        if (configurationTransferTime_ > Duration(0) && std::holds_alternative<ReadConfiguration>(call.request_)) {
             answerConfiguration(vm, call, std::move(answer), now_ - storeTime);
             return;
         }
-        schedule(now_ + config_.networkDelay_, [this, vm, incarnation, answer = std::move(answer)] { give(vm, incarnation, SessionEvent(answer)); });
+        schedule(now_ + config_.networkDelay_, [this, vm, incarnation, answer = std::move(answer)] { deliverEvent(vm, incarnation, SessionEvent(answer)); });
     });
 }
 
@@ -173,15 +173,16 @@
     schedule(now_ + 2 * config_.networkDelay_, [this, vm, incarnation, peer, call] {
         const bool isSilent = vmCuts_.contains(std::minmax(vm, peer)) || vms_[peer].frozen_ || mirrorCuts_.contains(vm);
         if (isSilent) {
-            answerNothing(vm, call);
+            endCallAtTimeout(vm, call);
             return;
         }
         const bool asksConfiguration = std::holds_alternative<ReadConfiguration>(call.request_);
         if (!vms_[peer].state_ || !asksConfiguration || !vms_[peer].state_->sessions_->configuration_) {
-            give(vm, incarnation, SessionEvent(StoreAnswered{call.id_, StoreResult::Unknown, {}}));
+            deliverEvent(vm, incarnation, SessionEvent(StoreAnswered{call.id_, StoreResult::Unknown, {}}));
             return;
         }
-        give(vm, incarnation, SessionEvent(StoreAnswered{call.id_, StoreResult::Done, ConfigurationRead{1, vms_[peer].state_->sessions_->configuration_}}));
+        deliverEvent(
+            vm, incarnation, SessionEvent(StoreAnswered{call.id_, StoreResult::Done, ConfigurationRead{1, vms_[peer].state_->sessions_->configuration_}}));
     });
 }
 
@@ -194,7 +195,7 @@
         },
         [&](const WatchConfiguration &) {},
         [&](const ReadMembers &) {
-            answer.content_ = MemberDirectory{++store_.revision_, store_.members_, store_.garbled_};
+            answer.content_ = MemberDirectory{++store_.revision_, store_.members_, store_.unreadableEntries_};
         },
         [&](const ReadVms &) {
             std::vector<EntryVm> vms;
@@ -219,12 +220,12 @@
 
 StoreAnswered SessionWorld::executeWrite(CallId id, const WriteClaim &write)
 {
-    const auto stands = store_.claims_.find(write.claim_.group_);
-    const std::uint64_t revision = stands == store_.claims_.end() ? 0 : stands->second.revision_;
+    const auto existing = store_.claims_.find(write.claim_.group_);
+    const std::uint64_t revision = existing == store_.claims_.end() ? 0 : existing->second.revision_;
     if (revision != write.claim_.revision_) {
         std::vector<LeaderClaim> present;
-        if (stands != store_.claims_.end()) {
-            present.push_back(stands->second);
+        if (existing != store_.claims_.end()) {
+            present.push_back(existing->second);
         }
         return StoreAnswered{id, present.empty() ? StoreResult::NotFound : StoreResult::Conflict, present};
     }
--- a/test/support/World.h
+++ b/test/support/World.h
@@ -2,8 +2,8 @@
  * Defines a simulation in virtual time that connects reducers: an event queue, the network between zones, and the models of groups and platform.
  *
  * It makes no decisions on behalf of the proxies. Messages between two places that are cut off from each other are held as TCP would hold them, and arrive
- * in order once the cut is healed; the sender detects the loss by its own timeout. Each proxy's clock starts at a different time, so that a comparison of
- * instants of two processes by mistake is always noticed.
+ * in order once the cut is healed; the sender detects the loss by its own timeout. Each proxy's clock starts at a different time, so that comparing
+ * instants of two processes by mistake gives an obviously wrong result.
  */
 #pragma once
 
@@ -177,7 +177,7 @@
         std::size_t group_ = 0;
         Standin::MemberIndex member_ = 0;
     };
-    struct Held
+    struct HeldMessage
     {
         Place from_;
         Place to_;
@@ -239,7 +239,7 @@
     std::set<std::pair<std::size_t, std::size_t>> zoneCuts_;
     std::set<std::size_t> platformCuts_;
     PeerFaults peerFaults_;
-    std::vector<Held> held_;
+    std::vector<HeldMessage> held_;
     std::vector<std::map<Standin::LinkId, LinkOwner>> linkOwners_; ///< Indexed by group.
     std::map<Standin::ReplyTag, ConnectHandler> connects_;
     std::map<Standin::ReplyTag, ControlHandler> controls_;
--- a/test/support/WorldNetwork.cpp
+++ b/test/support/WorldNetwork.cpp
@@ -77,8 +77,8 @@
 
 void World::releaseHeld()
 {
-    std::vector<Held> stillHeld;
-    for (Held &held : std::exchange(held_, {})) {
+    std::vector<HeldMessage> stillHeld;
+    for (HeldMessage &held : std::exchange(held_, {})) {
         if (isCut(held.from_, held.to_)) {
             stillHeld.push_back(std::move(held));
         } else {
