--- a/test/fuzz/Actions.h
+++ b/test/fuzz/Actions.h
@@ -10,24 +10,24 @@
 
 namespace Figward::Testing {
 
-/** A range of seeds, the trials made from each, and the length of the longest. */
+/** The range of seeds, the number of trials per seed, and the maximum length of a trial. */
 struct FuzzRun
 {
     std::uint64_t firstSeed_ = 1;
     std::uint64_t seeds_ = 1;
     int trialsPerSeed_ = 10;
-    int longest_ = 120; ///< Actions.
+    int longest_ = 120; ///< Maximum number of actions in a trial.
     bool shrink_ = true;
 };
 
-/** A fault that was found. */
+/** A fault found by fuzzing. */
 struct FuzzFinding
 {
     std::uint64_t seed_ = 0;
-    std::string report_; ///< The shortest trial that shows it, and what was broken.
+    std::string report_; ///< The shortest trial that reproduces the fault, and the violated guarantee.
 };
 
-/** Runs trials, each prepared by \p prepare, until one breaks a promise. Adds what the trials showed to \p counts. */
+/** Runs trials, each prepared by \p prepare, until one violates a guarantee. Adds the results of the trials to \p counts. */
 std::optional<FuzzFinding> fuzz(const FuzzRun &run, FuzzCounts &counts, const std::function<void(Trial &)> &prepare = {});
 /** "trials=... done=..." */
 std::string toString(const FuzzCounts &counts);
--- a/test/fuzz/ConfigurationTextMutations.cpp
+++ b/test/fuzz/ConfigurationTextMutations.cpp
@@ -1,5 +1,5 @@
-// Mutated examples are checked with fixed seeds. Whatever the text: the checker ends without a crash, gives a configuration exactly if
-// there is no problem, places every problem within the text, and a text that it accepts keeps its meaning through split and join.
+// Checks mutated examples with fixed seeds. For any text, the checker does not crash, returns a configuration if and only if it reports no problem, and
+// reports positions within the text. A text that it accepts keeps its meaning when it is split and joined.
 
 #include "ConfigurationText.h"
 #include "support/TestFiles.h"
--- a/test/fuzz/ConfigurationUnderFaults.cpp
+++ b/test/fuzz/ConfigurationUnderFaults.cpp
@@ -72,7 +72,7 @@
 
     void playRound()
     {
-        // One VM at least goes on and is answered by the store: nobody else could learn of the change.
+        // At least one VM keeps running and receives answers from the store; otherwise no VM could learn of the change.
         const unsigned sound = static_cast<unsigned>(random_() % vms_);
         disturbStore(sound);
         world_.run(randomBelow(std::chrono::seconds(3)));
@@ -178,7 +178,8 @@
 
 } // namespace
 
-// Guards against any wait for a silent source, of a VM or of all, that keeps a confirmed configuration from being in force in time, and against going back.
+// Guards against waiting for an unresponsive source, by one VM or by all, which delays a confirmed configuration from becoming active, and against returning to
+// an earlier configuration.
 TEST_P(ConfigurationUnderFaults, isInForceInTimeAndNeverReverts)
 {
     EXPECT_THAT(FaultyDay(GetParam()).play(), IsEmpty());
--- a/test/fuzz/FleetUnderFaults.cpp
+++ b/test/fuzz/FleetUnderFaults.cpp
@@ -1,6 +1,6 @@
-// Eight proxies under random faults, against an oracle that knows only what must hold: the version in force never falls at any proxy; while all proxies have had
-// the same list for long enough, the quota of all owners together is within the group's limit; and once all faults have ended, every proxy that
-// runs comes to the last version that was accepted.
+// Runs eight proxies under random faults and checks three invariants: the active version never decreases at any proxy; while all proxies have had the same VM
+// list for long enough, the total quota of all owners is within the group's limit; and after all faults have ended, every running proxy reaches the last
+// accepted version.
 
 #include "support/Fleet.h"
 
@@ -20,7 +20,7 @@
 constexpr unsigned zones = 3;
 constexpr unsigned connectionLimit = 35;
 constexpr unsigned slots = 5;
-constexpr Duration settled = seconds(3); // Longer than quota takes to rise and a loan to end.
+constexpr Duration settled = seconds(3); // Longer than a quota increase or the end of a loan takes.
 const GroupId ledger("group-0");
 
 enum class Step {
--- a/test/fuzz/LineSafeguardsMatter.cpp
+++ b/test/fuzz/LineSafeguardsMatter.cpp
@@ -1,5 +1,5 @@
-// Each test takes one safeguard of database sessions away, by altering a proxy's state from outside, and the trials must find a broken promise.
-// A safeguard whose absence went unnoticed would be one that no trial protects.
+// Each test disables one safeguard of database sessions by altering a proxy's state from outside, and the trials must detect a violated guarantee.
+// If the absence of a safeguard is not detected, no trial covers that safeguard.
 #include "fuzz/LineTrial.h"
 
 #include <gmock/gmock.h>
@@ -43,7 +43,7 @@
 
 } // namespace
 
-// A VM that is cut off or frozen goes on to use the primary that it knew: it would acknowledge writes there that its successor lacks.
+// Without the expiry of authority, a VM that is cut off or frozen keeps using the last known primary and acknowledges writes that the replacement lacks.
 TEST(LineSafeguards, authorityEnds)
 {
     expectFinding(104, [](ProxyState &state, EventBody & /*event*/, Time now) {
@@ -55,7 +55,7 @@
     });
 }
 
-// The leader promotes without waiting until the other VMs have given up the old primary.
+// The leader promotes a replacement without waiting until the other VMs have stopped using the previous primary.
 TEST(LineSafeguards, theLeaderWaitsForTheOtherVms)
 {
     expectFinding(42, [](ProxyState &state, EventBody & /*event*/, Time now) {
@@ -67,7 +67,7 @@
     });
 }
 
-// A promotion that was called for and not answered is forgotten: it comes through late, beside another one.
+// The leader forgets a promotion request that has not been answered: it takes effect late, in addition to another promotion.
 TEST(LineSafeguards, aPromotionUnderWayIsRemembered)
 {
     expectFinding(292, [](ProxyState &state, EventBody & /*event*/, Time /*now*/) {
@@ -79,7 +79,7 @@
     });
 }
 
-// Reads at replicas do not say which position they need.
+// Reads at replicas do not state the log position that they require.
 TEST(LineSafeguards, readsNameAPosition)
 {
     expectFinding(1, [](ProxyState &state, EventBody & /*event*/, Time /*now*/) {
@@ -91,21 +91,21 @@
     });
 }
 
-// A session's reads name what the route's age asks for, and not what the session itself has written.
+// A session's reads require only the position that follows from the route's maximum age, not the position of the session's own writes.
 TEST(LineSafeguards, sessionsRememberTheirCommits)
 {
     expectFinding(
         1, [](ProxyState &state, EventBody & /*event*/, Time /*now*/) { forSessions(state, [](ClientSession &session) { session.lastCommit_.reset(); }); });
 }
 
-// The connection of a write is reset at any moment of its way: before it ran, while it runs, while its answer is on its way. The client is told that it is in
-// doubt, and it runs once at most. Taken for a write that was never sent, it runs again on another connection.
+// The connection of a write is reset before the write runs, while it runs, or while its answer is in flight. The client is told that the write is in doubt, and
+// the write runs at most once. If the proxy treats it as never sent, it runs again on another connection.
 TEST(LineSafeguards, whatWasSentIsNotSentAgain)
 {
     const auto violationsWith = [](const SessionWorld::BeforeEvent &beforeEvent) {
         std::vector<std::string> violations;
         constexpr Duration step = std::chrono::microseconds(250);
-        constexpr Duration whole = std::chrono::milliseconds(16); // Of a write, there and back.
+        constexpr Duration whole = std::chrono::milliseconds(16); // Round trip of a write.
         for (Duration reset{}; reset < whole; reset += step) {
             SessionWorld world;
             world.setBeforeEvent(beforeEvent);
@@ -114,7 +114,7 @@
             EXPECT_EQ(world.ask(client, StatementKind::Write, "WRITE a 1").code_, ReplyCode::None);
             world.send(client, StatementKind::Write, "WRITE a 2");
             world.run(reset);
-            world.cutVmFromMember(3, 0, true); // What is on its way is lost with the connection.
+            world.cutVmFromMember(3, 0, true); // Messages in flight are lost with the connection.
             world.resetConnections(0);
             world.run(std::chrono::milliseconds(3));
             world.cutVmFromMember(3, 0, false);
@@ -137,8 +137,9 @@
                 Contains(HasSubstr("ran twice")));
 }
 
-// A VM is frozen after the primary ran a write and before its answer was taken in. The replicas had not received the write, the primary crashed, and another
-// leads without it. When the VM wakes, the answer is there to be taken: without the check against the VM's authority the client is told that the write is kept.
+// A VM freezes after the primary has run a write and before the VM processes the answer. The replicas have not received the write, the primary crashes, and a
+// replacement without the write is promoted. When the VM resumes, the answer is waiting: without the check against the VM's authority, the client is told that
+// the write succeeded.
 TEST(LineSafeguards, answersAreHeldAgainstTheAuthority)
 {
     const auto violationsWith = [](const SessionWorld::BeforeEvent &beforeEvent) {
--- a/test/fuzz/LineSessionsUnderFaults.cpp
+++ b/test/fuzz/LineSessionsUnderFaults.cpp
@@ -25,14 +25,14 @@
 
 } // namespace
 
-// Clients work at random while members crash and lag, VMs die, freeze and are cut off, and the store is away or loses answers, several at a time.
-// Whatever comes, no read lacks what it must include, no write is acknowledged by a replaced primary, and what was refused has not run.
+// Clients send random statements while members crash and lag, VMs die, freeze and are cut off, and the store is unavailable or loses answers, several at a time.
+// In all cases, no read lacks a write that it must include, no write is acknowledged by a replaced primary, and no refused statement has run.
 TEST(LineSessionsUnderFaults, keepTheirPromises)
 {
     playSeeds(setting("FIGWARD_FUZZ_FIRST", 1), setting("FIGWARD_FUZZ_SEEDS", 40));
 }
 
-// The same while connections to members are reset as well: what was under way on them may have run or not.
+// The same test with resets of connections to members: a statement in flight on such a connection may or may not have run.
 TEST(LineSessionsUnderFaults, keepTheirPromisesWhileConnectionsAreReset)
 {
     playSeeds(setting("FIGWARD_FUZZ_FIRST", 1), setting("FIGWARD_FUZZ_SEEDS", 40), {.resets_ = true});
--- a/test/fuzz/LineTrial.cpp
+++ b/test/fuzz/LineTrial.cpp
@@ -103,7 +103,7 @@
         world.cutVmFromStore(vm, true);
         world.after(lasting, [&world, vm] { world.cutVmFromStore(vm, false); });
         break;
-    case 7: // One VM is alone with one member.
+    case 7: // One VM can reach only one member.
         for (unsigned other = 0; other < vms; ++other) {
             if (other != vm) {
                 world.cutVms(vm, other, true);
@@ -139,7 +139,7 @@
     SessionWorld world(config);
     world.setBeforeEvent(options.beforeEvent_);
     std::mt19937_64 random(seed);
-    std::mt19937_64 resetRandom(~seed); // Of its own: a seed's other faults stay as they are without resets.
+    std::mt19937_64 resetRandom(~seed); // A separate generator, so that a seed's other faults are the same with and without resets.
     world.run(std::chrono::seconds(3));
     std::vector<RandomClient> clients(8, RandomClient(world, random));
     constexpr int steps = 2000;
--- a/test/fuzz/LineTrial.h
+++ b/test/fuzz/LineTrial.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines a trial of database sessions: clients at random while members, VMs, the store and links between them fail.
+ * Defines a trial of database sessions: clients send random statements while members, VMs, the store and the links between them fail.
  */
 #pragma once
 
@@ -7,14 +7,14 @@
 
 namespace Figward::Testing {
 
-/** How a trial is played. */
+/** Options of a trial. */
 struct LineTrialOptions
 {
-    SessionWorld::BeforeEvent beforeEvent_; ///< May alter a proxy's state, to take a safeguard away.
-    bool resets_ = false; ///< Connections to members are reset as well, some twice a second.
+    SessionWorld::BeforeEvent beforeEvent_; ///< May alter a proxy's state, to disable a safeguard.
+    bool resets_ = false; ///< Connections to members are also reset, about twice a second.
 };
 
-/** Plays 20 s of virtual time by \p seed; returns the promises that were broken. FIGWARD_FUZZ_STORY in the environment prints what happened. */
+/** Runs a trial of 20 s of virtual time from \p seed and returns the violated guarantees. If FIGWARD_FUZZ_STORY is set in the environment, prints the events. */
 std::vector<std::string> playLineTrial(std::uint64_t seed, const LineTrialOptions &options = {});
 
 } // namespace Figward::Testing
--- a/test/fuzz/Oracle.h
+++ b/test/fuzz/Oracle.h
@@ -1,7 +1,7 @@
 /** \file
- * Defines the oracle: it keeps only what callers asked and were told, and compares that with the groups' logs.
+ * Defines the oracle, which records only the callers' requests and the answers they received, and compares these with the groups' logs.
  *
- * Each write appends a tag that is used nowhere else, "KEY.NUMBER;", so that a value shows which writes it contains, and in which order.
+ * Each write appends a unique tag, "KEY.NUMBER;", so that a value shows which writes it contains, and in which order.
  */
 #pragma once
 
@@ -15,36 +15,36 @@
 
 namespace Figward::Testing {
 
-/** Number of a write or transaction that a caller has asked for. */
+/** Number of a write or transaction that a caller has requested. */
 using WriteNumber = std::size_t;
 
 /** A write, or a transaction as a whole. */
 struct AskedWrite
 {
     GroupId group_;
-    std::optional<IdempotencyKey> key_; ///< Empty while a transaction has not asked to commit.
-    std::vector<std::string> bodies_; ///< Statements that took effect if it ran.
+    std::optional<IdempotencyKey> key_; ///< Empty until the commit of a transaction is requested.
+    std::vector<std::string> bodies_; ///< Statements that took effect if the write ran.
     bool done_ = false;
     bool notRun_ = false;
-    LogPoint point_; ///< Of the group in the token that came with the answer: not before the write.
+    LogPoint point_; ///< Log point of the group in the token of the answer; the write is at or before it.
 };
 
 /** A read and its answer. */
 struct CheckedRead
 {
     GroupId group_;
-    std::string key_; ///< Name of the value that was read.
+    std::string key_; ///< Name of the value read.
     std::string body_;
-    std::set<std::string> mustContain_; ///< Tags that the session was told are written, or that are old enough.
-    std::optional<WriteNumber> transaction_; ///< That the read is part of.
+    std::set<std::string> mustContain_; ///< Tags of writes acknowledged to the session, or old enough to be visible to the read.
+    std::optional<WriteNumber> transaction_; ///< Transaction that the read is part of.
     bool fromReplica_ = false;
 };
 
-/** How much a run has shown. */
+/** Counts of the operations and outcomes in a run. */
 struct FuzzCounts
 {
     std::uint64_t trials_ = 0;
-    std::uint64_t done_ = 0; ///< Writes and commits.
+    std::uint64_t done_ = 0; ///< Completed writes and commits.
     std::uint64_t notRun_ = 0;
     std::uint64_t unknown_ = 0;
     std::uint64_t reads_ = 0;
@@ -52,22 +52,22 @@
     std::uint64_t promotions_ = 0;
 };
 
-/** The oracle. */
+/** Checks answers to callers against the guarantees. */
 class Oracle
 {
 public:
-    /** A tag that no other write has. */
+    /** Returns a tag that no other write has. */
     std::string newTag(const std::string &key, WriteNumber write);
     WriteNumber ask(AskedWrite write);
     [[nodiscard]] AskedWrite &write(WriteNumber number);
-    /** A caller was told the fate of a write; nothing if its proxy died. */
+    /** Records the outcome of a write as its caller received it; no answer if the proxy died. */
     void tell(WriteNumber number, const std::optional<Answer> &answer);
     void check(const CheckedRead &read);
-    /** Compares all that was told with the log that \p group ended with. */
+    /** Compares all answers to callers with the final log of \p group. */
     void checkLog(const GroupId &group, const Standin::GroupLog &log);
     void violate(std::string what);
     FuzzCounts counts_;
-    /** What was broken so far. */
+    /** Violations of guarantees so far. */
     [[nodiscard]] const std::vector<std::string> &violations() const;
 
 private:
--- a/test/fuzz/OracleFindsMissingSafeguards.cpp
+++ b/test/fuzz/OracleFindsMissingSafeguards.cpp
@@ -1,5 +1,5 @@
-// The oracle is checked here: each test takes one safeguard away, by altering a proxy's state or effects from outside, and the fuzz must find a
-// broken promise. A safeguard whose absence went unnoticed would be one that no other test of this kind protects.
+// Checks the oracle: each test disables one safeguard by altering a proxy's state or effects from outside, and fuzzing must detect a violated guarantee.
+// If the absence of a safeguard is not detected, no other fuzz test covers that safeguard.
 #include "fuzz/Actions.h"
 
 #include <gtest/gtest.h>
@@ -12,7 +12,7 @@
 
 constexpr std::uint64_t seedsTried = 200;
 
-/** Fuzzes with hooks made by \p hooksOf and expects a finding; prints the seed and what was broken. */
+/** Fuzzes with hooks made by \p hooksOf and expects a finding; prints the seed and the violated guarantee. */
 void expectFinding(const std::function<WorldHooks(World &)> &hooksOf)
 {
     FuzzCounts counts;
--- a/test/fuzz/SessionsUnderFaults.cpp
+++ b/test/fuzz/SessionsUnderFaults.cpp
@@ -1,5 +1,5 @@
-// Callers with sessions hop between five proxies while zones, platform, members and proxies fail in any order and at once.
-// Whatever the callers were told must agree with what the groups' logs hold once everything has healed.
+// Callers with sessions switch between five proxies while zones, the platform, members and proxies fail in any order and simultaneously.
+// After all faults have ended, the answers that the callers received must agree with the groups' logs.
 #include "fuzz/Actions.h"
 
 #include <cstdlib>
@@ -33,10 +33,10 @@
     expectNoFinding({.firstSeed_ = 1, .seeds_ = 80});
 }
 
-// Seeds that have shown a fault stay here unchanged.
+// Regression tests for seeds that have exposed a fault; the seeds must not change.
 
-// A session opens a transaction at a primary that is then replaced, writes at the new one, and reads inside the old transaction.
-// The old primary's owner does not know of the new term yet; the session's token does. The read must not run where its own write is missing.
+// A session opens a transaction at a primary that is then replaced, writes at the replacement, and reads inside the earlier transaction.
+// The previous primary's owner does not know the new term yet, but the session's token contains it. The read must not run where the session's write is missing.
 TEST(SessionsUnderFaults, readInATransactionIsHeldAgainstTheToken)
 {
     for (const std::uint64_t seed : {500004, 1000020, 3000058, 3002833}) {
@@ -44,21 +44,21 @@
     }
 }
 
-// A caller is told "unknown", asks again by the same key at another proxy, and is told "not run" by one that refused this attempt early.
-// It knows nothing of the first attempt, which a cut has held back and which reaches the group afterwards: the write runs.
+// A caller receives "unknown", retries with the same key at another proxy, and receives "not run" because that proxy refused the retry early.
+// That proxy does not know of the first attempt, which a network cut has delayed and which reaches the group afterwards: the write runs.
 TEST(SessionsUnderFaults, repeatOfAnUnknownWriteIsNotToldNotRun)
 {
     expectNoFinding({.firstSeed_ = 89});
 }
 
-// A read that states an age finds no fresh replica and goes to the primary of an owner that is cut off together with it.
-// That primary has been replaced, no majority confirms it, and its answer lacks a write that is older than the age stated.
+// A read with a maximum age finds no fresh replica and goes to the primary of an owner that is cut off together with it.
+// That primary has been replaced, no majority confirms it, and its answer lacks a write that is older than the maximum age.
 TEST(SessionsUnderFaults, statedAgeHoldsAtAReplacedPrimary)
 {
     expectNoFinding({.firstSeed_ = 1014, .longest_ = 200});
 }
 
-// FIGWARD_FUZZ_SHRINK=1 makes a failing trial short before it is shown, which can take minutes.
+// FIGWARD_FUZZ_SHRINK=1 shrinks a failing trial before it is reported, which can take minutes.
 // `ctest -L fuzz-long` runs FIGWARD_FUZZ_SEEDS seeds (2000 unless set), from FIGWARD_FUZZ_FIRST on (1000 unless set).
 TEST(LongSessionsUnderFaults, keepEveryPromise)
 {
--- a/test/fuzz/Trial.cpp
+++ b/test/fuzz/Trial.cpp
@@ -15,7 +15,7 @@
 constexpr std::size_t sessionCount = 6;
 constexpr std::size_t keyCount = 2;
 constexpr Duration second = std::chrono::seconds(1);
-constexpr Duration startTime = 2 * second; // Until connections are open and terms are granted.
+constexpr Duration startTime = 2 * second; // Time until connections are open and terms are granted.
 constexpr Duration afterEffects = 15 * second;
 constexpr Duration settleTime = 20 * second;
 constexpr Duration answerSlack = std::chrono::milliseconds(50);
@@ -125,7 +125,7 @@
     world_.note("== heal");
     world_.healAll();
     world_.run(settleTime);
-    world_.healAll(); // Proxies that have drained meanwhile start again.
+    world_.healAll(); // Also restarts proxies that have drained in the meantime.
     world_.run(startTime);
     if (unanswered_ > 0) {
         oracle_.violate(absl::StrCat(unanswered_, " requests were never answered"));
@@ -163,7 +163,7 @@
 void Trial::write(Session &session, const Action &action)
 {
     const GroupId group = World::groupId(action.choice_ % world_.groups());
-    session.open_.reset(); // A caller that goes on does not ask for the former one again.
+    session.open_.reset(); // A caller that sends another write no longer retries the previous one.
     const WriteNumber number = oracle_.ask({.group_ = group, .key_ = IdempotencyKey{session.id_, session.next_}});
     session.next_ = Sequence(session.next_.value() + 1);
     const std::string key = keyName(action.choice_ / 2);
@@ -181,7 +181,7 @@
     const WriteNumber number = *session.open_;
     const AskedWrite &write = oracle_.write(number);
     if (write.bodies_.size() != 1) {
-        return; // Of a transaction only the commit's key is left, and its statements are gone.
+        return; // Only the key of a transaction's commit is kept, not its statements.
     }
     Request request = requestOf(RequestKind::Write, write.group_, action.choice_);
     request.body_ = write.bodies_.back();
--- a/test/fuzz/Trial.h
+++ b/test/fuzz/Trial.h
@@ -12,8 +12,8 @@
 enum class ActionKind {
     Write,
     Read,
-    Retry, ///< Asks again, by the same key, for a write whose fate the caller does not know.
-    Transact, ///< Takes the next step of the session's transaction.
+    Retry, ///< Retries, with the same key, a write whose outcome the caller does not know.
+    Transact, ///< Executes the next step of the session's transaction.
     Wait,
     CutZones,
     CutPlatform,
@@ -29,14 +29,14 @@
 };
 constexpr std::size_t actionKinds = 16;
 
-/** One step. The numbers are taken modulo what there is. */
+/** One step. Each index is taken modulo the number of available objects. */
 struct Action
 {
     ActionKind kind_ = ActionKind::Wait;
-    std::size_t who_ = 0; ///< Session, or what the fault hits.
+    std::size_t who_ = 0; ///< Session, or target of the fault.
     std::size_t where_ = 0; ///< Proxy, group or second zone.
-    std::size_t choice_ = 0; ///< Refines the kind.
-    Duration time_{}; ///< Wait, or how long the fault lasts.
+    std::size_t choice_ = 0; ///< Variant of the kind.
+    Duration time_{}; ///< Duration of the wait or fault.
 };
 
 /** Text of \p action, as failure reports show it. */
@@ -49,8 +49,8 @@
     SessionToken token_;
     Sequence next_{1};
     bool busy_ = false;
-    std::optional<WriteNumber> open_; ///< Its fate is unknown to the caller.
-    std::map<std::pair<GroupId, std::string>, std::set<std::string>> told_; ///< Tags by value that it was told are written.
+    std::optional<WriteNumber> open_; ///< Write whose outcome is unknown to the caller.
+    std::map<std::pair<GroupId, std::string>, std::set<std::string>> told_; ///< Tags of the writes acknowledged to the session, by value.
     TransactionId transaction_;
     ProxyIndex transactionProxy_ = 0;
     WriteNumber transactionWrite_ = 0;
@@ -106,7 +106,7 @@
     Oracle oracle_;
     std::vector<Session> sessions_;
     std::map<std::pair<GroupId, std::string>, std::vector<Acknowledged>> acknowledged_;
-    Time excusedUntil_; ///< Faults, or their after-effects, may explain an unknown outcome until then.
+    Time excusedUntil_; ///< Until this time, faults or their after-effects may explain an unknown outcome.
     std::size_t unanswered_ = 0;
 };
 
