--- a/test/fuzz/Actions.cpp
+++ b/test/fuzz/Actions.cpp
@@ -16,7 +16,7 @@
 constexpr int longestFaultMillis = 8000;
 constexpr Duration betweenActions = std::chrono::milliseconds(4);
 
-/** What the generator knows of a trial: how many faults it has begun. Callers' requests may be asked in any state. */
+/** The generator's model of a trial: the number of faults started. Callers' requests are permitted in any state. */
 struct TrialModel
 {
     unsigned faults_ = 0;
@@ -33,7 +33,7 @@
     return kind >= ActionKind::CutZones;
 }
 
-/** One action as RapidCheck's command. */
+/** One action as a RapidCheck command. */
 class ActionCommand : public rc::state::Command<TrialModel, Trial>
 {
 public:
--- a/test/fuzz/ConfigurationTextMutations.cpp
+++ b/test/fuzz/ConfigurationTextMutations.cpp
@@ -21,7 +21,7 @@
     return bound == 0 ? 0 : random() % bound;
 }
 
-/** One change: a byte replaced, a piece cut, doubled or moved, or a token put in. */
+/** Applies one mutation: replaces a byte, removes, duplicates or moves a substring, or inserts a token. */
 void mutate(std::string &text, Random &random)
 {
     static const std::vector<std::string> tokens{"{",
--- a/test/fuzz/ConfigurationUnderFaults.cpp
+++ b/test/fuzz/ConfigurationUnderFaults.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr Duration startTime = std::chrono::seconds(4);
-/** By then a confirmed configuration is in force at each VM that runs and is heard by others, where VMs are few and where they are many. */
+/** Maximum time until a confirmed configuration is active at each running VM that other VMs can hear, for few and for many VMs. */
 constexpr Duration applyBound = std::chrono::milliseconds(3000);
 constexpr Duration applyBoundOfMany = std::chrono::milliseconds(5000);
 constexpr Duration freezeTime = std::chrono::milliseconds(5500);
@@ -22,7 +22,7 @@
 constexpr unsigned rounds = 3;
 constexpr unsigned mostFrozen = 2;
 
-/** One day: each round a change, beside a store that is silent to some VMs, watches and connections that hear nothing, and VMs that stand still as the word spreads. */
+/** A run of several rounds. Each changes the configuration while the store is unresponsive to some VMs, watches and connections receive nothing, and VMs freeze during distribution. */
 class FaultyDay
 {
 public:
@@ -104,7 +104,7 @@
         }
     }
 
-    /** For a second around the change no watch hears anything, then the store forgets its history. */
+    /** For a second around the change no watch receives anything, then the store discards its history. */
     void hideFromWatches()
     {
         world_.watchesAreSilent(true);
@@ -143,7 +143,7 @@
         return world_.vm(vm).sessions_->configuration_->version_;
     }
 
-    /** Lets time pass; no VM goes back to a lower version. */
+    /** Advances the time and checks that no VM returns to a lower version. */
     void runAndCompare(Duration duration)
     {
         constexpr Duration step = std::chrono::milliseconds(100);
--- a/test/fuzz/FleetUnderFaults.cpp
+++ b/test/fuzz/FleetUnderFaults.cpp
@@ -53,7 +53,7 @@
                         });
 }
 
-/** Watches all proxies. */
+/** Checks the invariants over all proxies. */
 class Oracle
 {
 public:
--- a/test/fuzz/LineSafeguardsMatter.cpp
+++ b/test/fuzz/LineSafeguardsMatter.cpp
@@ -14,7 +14,7 @@
 constexpr std::uint64_t seedsTried = 400;
 constexpr Duration longAgo = std::chrono::seconds(10);
 
-/** Plays trials from seed \p first on until a promise is broken; prints the first one. A first seed near one that was found before saves time. */
+/** Runs trials from seed \p first until a guarantee is violated, and prints the first violation. Starting near a seed known to fail saves time. */
 void expectFinding(std::uint64_t first, const SessionWorld::BeforeEvent &beforeEvent)
 {
     for (std::uint64_t seed = first; seed < first + seedsTried; ++seed) {
@@ -24,7 +24,7 @@
             return;
         }
     }
-    ADD_FAILURE() << "not noticed in " << seedsTried << " seeds";
+    ADD_FAILURE() << "no violation detected in " << seedsTried << " seeds";
 }
 
 void forGroups(ProxyState &state, const std::function<void(SessionGroup &)> &action)
--- a/test/fuzz/LineTrial.cpp
+++ b/test/fuzz/LineTrial.cpp
@@ -12,7 +12,7 @@
 constexpr unsigned vms = 5;
 constexpr unsigned members = 3;
 
-/** A client that does one operation after the other, at random. */
+/** A client that runs random operations one after another. */
 class RandomClient
 {
 public:
@@ -66,7 +66,7 @@
     bool inTransaction_ = false;
 };
 
-/** Begins one fault and ends it again after a while. */
+/** Starts one fault and schedules its end. */
 void injectFault(SessionWorld &world, std::mt19937_64 &random)
 {
     const Duration lasting = std::chrono::milliseconds(300 + random() % 6000);
--- a/test/fuzz/Oracle.cpp
+++ b/test/fuzz/Oracle.cpp
@@ -16,7 +16,7 @@
     return write.group_.value() + " " + key + " \"" + (write.bodies_.empty() ? "" : write.bodies_.back()) + "\"";
 }
 
-/** The tag in "append KEY TAG". */
+/** Returns the tag in "append KEY TAG". */
 std::string tagOf(const std::string &body)
 {
     return body.substr(body.rfind(' ') + 1);
@@ -58,14 +58,14 @@
         write.done_ = true;
         const auto point = answer->token_.points_.find(write.group_);
         if (point == answer->token_.points_.end()) {
-            violate("done without a point: " + nameOf(write));
+            violate("done, but the token has no log point: " + nameOf(write));
             return;
         }
         write.point_ = point->second;
         checkAnswerBelongs(write, *answer);
     }
     if (write.done_ && write.notRun_) {
-        violate("told done and not run: " + nameOf(write));
+        violate("reported as both done and not run: " + nameOf(write));
     }
 }
 
@@ -83,7 +83,7 @@
         }
         const bool uncommitted = !writes_.at(known->second).key_ && read.transaction_ != known->second;
         if (uncommitted) {
-            violate("a read saw " + tag + " of a transaction that has not asked to commit");
+            violate("a read saw " + tag + " of a transaction whose commit has not been requested");
         }
         if (!seen.insert(tag).second) {
             violate("a read saw " + tag + " twice");
@@ -117,7 +117,7 @@
             continue;
         }
         if (write.notRun_) {
-            violate("told not run, and ran: " + nameOf(write));
+            violate("reported as not run, but ran: " + nameOf(write));
         }
         if (write.done_ && found->second->point_ > write.point_) {
             violate("its answer's token says " + toString(write.point_) + " and it is at " + toString(found->second->point_) + ": " + nameOf(write));
@@ -127,7 +127,7 @@
             bodies.push_back("append " + operation.key_ + " " + operation.argument_);
         }
         if (bodies != write.bodies_) {
-            violate("ran otherwise than asked: " + nameOf(write));
+            violate("ran with other statements than requested: " + nameOf(write));
         }
     }
 }
--- a/test/fuzz/OracleFindsMissingSafeguards.cpp
+++ b/test/fuzz/OracleFindsMissingSafeguards.cpp
@@ -18,7 +18,7 @@
     FuzzCounts counts;
     const FuzzRun run{.firstSeed_ = 1, .seeds_ = seedsTried, .longest_ = 200, .shrink_ = false};
     const std::optional<FuzzFinding> finding = fuzz(run, counts, [&](Trial &trial) { trial.world().hooks_ = hooksOf(trial.world()); });
-    ASSERT_TRUE(finding.has_value()) << "not noticed in " << seedsTried << " seeds";
+    ASSERT_TRUE(finding.has_value()) << "no violation detected in " << seedsTried << " seeds";
     const std::size_t mark = finding->report_.find("trial.trace())\n\n");
     const std::size_t from = mark == std::string::npos ? 0 : finding->report_.find_first_not_of('\n', mark + 14);
     std::cout << "seed " << finding->seed_ << ": " << finding->report_.substr(from, finding->report_.find('\n', from) - from) << "\n";
--- a/test/fuzz/Trial.cpp
+++ b/test/fuzz/Trial.cpp
@@ -289,7 +289,7 @@
     return tags;
 }
 
-/** Writes through \p proxy; where the answer says "not run" and when to ask again, does so with a fresh key, as a patient caller would. */
+/** Writes through \p proxy; if the answer is "not run" with a retry delay, retries after that delay with a new key. */
 std::optional<Answer> Trial::writePatiently(ProxyIndex proxy, Request request)
 {
     std::optional<Answer> answer;
@@ -305,7 +305,7 @@
     return answer;
 }
 
-/** After the faults: one primary that all members follow, and every proxy gets a write through. */
+/** Checks that after the faults all members follow one primary, and a write succeeds through every proxy. */
 void Trial::checkRecovered(std::size_t group)
 {
     const GroupId id = World::groupId(group);
--- a/test/fuzz/Trial.h
+++ b/test/fuzz/Trial.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines a trial: a world, callers with sessions that hop between proxies, faults that end by themselves, and the oracle.
+ * Defines a trial: a world, callers with sessions that switch between proxies, faults that end by themselves, and the oracle.
  */
 #pragma once
 
@@ -8,7 +8,7 @@
 
 namespace Figward::Testing {
 
-/** What a step of a trial does. */
+/** Kind of a step of a trial. */
 enum class ActionKind {
     Write,
     Read,
@@ -63,16 +63,16 @@
     explicit Trial(std::uint64_t seed);
 
     void perform(const Action &action);
-    /** Heals everything, waits until the groups agree, and compares their logs with what callers were told. */
+    /** Ends all faults, waits until the groups agree, and compares their logs with the answers to callers. */
     void finish();
     [[nodiscard]] const std::vector<std::string> &violations() const;
     [[nodiscard]] const FuzzCounts &counts() const;
     [[nodiscard]] World &world();
-    /** Events, effects and actions so far; the end of them if there are many. */
+    /** Events, effects and actions so far; only the last ones if there are many. */
     [[nodiscard]] std::string trace() const;
 
 private:
-    /** A tag and when its write was acknowledged. */
+    /** A tag and the time at which its write was acknowledged. */
     struct Acknowledged
     {
         std::string tag_;
--- a/test/fuzz/TrialTransactions.cpp
+++ b/test/fuzz/TrialTransactions.cpp
@@ -9,7 +9,7 @@
 
 } // namespace
 
-/** Begins a transaction, or takes one more step of the one that is open; a third of the time it ends. */
+/** Begins a transaction or executes the next step of the open one; a third of these steps end the transaction. */
 void Trial::transact(Session &session, const Action &action)
 {
     if (session.transaction_ == TransactionId(0)) {
--- a/test/performance/Authentication.cpp
+++ b/test/performance/Authentication.cpp
@@ -1,5 +1,6 @@
 /** \file
- * Measures what it costs to find the organisation that a client's statement runs for, by the number of organisations, each with four keys; and the digest of a key, once a session.
+ * Measures the cost of looking up the organisation of a client's statement, by the number of organisations with four keys each, and of the digest of a key,
+ * computed once a session.
  */
 #include "Organisations.h"
 
--- a/test/performance/FailoverGap.cpp
+++ b/test/performance/FailoverGap.cpp
@@ -1,7 +1,7 @@
 /** \file
- * Measures, in virtual time, how long writes to a group stall when its primary is lost, and how many primaries are replaced without need.
+ * Measures, in virtual time, how long writes to a group stall when its primary is lost, and how many primaries are replaced unnecessarily.
  *
- * The gap lasts from the loss to the first write that any caller is told is done in a later term. Printed by size, fault and state of the platform: median,
+ * The gap lasts from the loss to the first write in a later term that is acknowledged to any caller. Printed by size, fault and state of the platform: median,
  * p99 and the longest of all seeds, in milliseconds. Usage: FailoverGap [SEEDS [FIRST_SEED [QUIET_SEEDS [SIZE [FAULT]]]]],
  * where SIZE is consorcio or magnolia and FAULT a name of the table's second column; without them, all.
  */
@@ -57,7 +57,7 @@
     return config;
 }
 
-/** One world with callers that write to the first group without end. */
+/** One world with callers that write to the first group continuously. */
 struct Trial
 {
     explicit Trial(const WorldConfig &config)
@@ -97,8 +97,8 @@
     World world_;
     std::mt19937_64 random_;
     std::uint64_t sequence_ = 0;
-    Term highest_; ///< Of the writes that were told done.
-    Time highestAt_; ///< When the first of them was.
+    Term highest_; ///< Highest term of the acknowledged writes.
+    Time highestAt_; ///< Time of the first acknowledged write in that term.
 };
 
 void setPlatform(Trial &trial, PlatformState state)
@@ -149,7 +149,7 @@
     world.run(Duration::zero());
 }
 
-/** The gap of one seed; gapLimit if writes did not come back. */
+/** Returns the gap of one seed; gapLimit if writes did not resume. */
 Duration gapOf(const UserSize &size, std::uint64_t seed, Fault fault, PlatformState platform)
 {
     Trial trial(worldOf(size, seed));
@@ -193,7 +193,7 @@
     std::fflush(stdout);
 }
 
-/** Promotions in ten minutes without a lost primary, but with pauses of members and proxies below the suspicion time and delays between proxies. */
+/** Returns the number of promotions in ten minutes without a lost primary, but with pauses of members and proxies below the suspicion time and delays between proxies. */
 std::uint64_t falsePromotions(const UserSize &size, std::uint64_t seed)
 {
     Trial trial(worldOf(size, seed));
--- a/test/performance/FleetMeasure.h
+++ b/test/performance/FleetMeasure.h
@@ -5,19 +5,19 @@
 
 namespace Figward::Testing {
 
-/** How fast a configuration spreads, in a small and a large fleet, by three ways and their sum. */
+/** Measures how fast a configuration is distributed in a small and a large fleet, by each of three ways and by all together. */
 void measureConfiguration();
-/** How many groups move when a VM comes or goes, against a modulo baseline. */
+/** Measures how many groups move when a VM is added or removed, compared with assignment by modulo. */
 void measureMoves();
-/** Statements a second of 35 callers on 5 slots, by the number of owners. */
+/** Measures statements per second of 35 callers on 5 slots, by the number of owners. */
 void measureThroughput();
-/** Connections held through a rolling restart. */
+/** Measures the connections held during a rolling restart. */
 void measureRestart();
-/** How calls and bytes for control grow with the fleet. */
+/** Measures how control calls and bytes grow with the size of the fleet. */
 void measureSlopes();
-/** Processor time of a control message, of a change of the list and of the configuration. */
+/** Measures the processor time of a control message, of a change of the list and of the configuration. */
 void measureCpu();
-/** Memory of a group, a VM in the list, a connection. */
+/** Measures the memory of a group, a VM in the list, a connection. */
 void measureMemory();
 
 } // namespace Figward::Testing
--- a/test/performance/FleetMeasureConfiguration.cpp
+++ b/test/performance/FleetMeasureConfiguration.cpp
@@ -37,7 +37,7 @@
     std::size_t missing_ = 0;
 };
 
-/** Applies \p changes configurations, \p pause apart, and notes when each VM has each. */
+/** Applies \p changes configurations at intervals of \p pause, and records when each VM has each of them. */
 Spread spreadOf(Fleet &fleet, unsigned services, unsigned changes, Duration pause)
 {
     Spread spread;
--- a/test/performance/FleetMeasureOwners.cpp
+++ b/test/performance/FleetMeasureOwners.cpp
@@ -36,7 +36,7 @@
     return chosen;
 }
 
-/** Owners of all groups that are not owners of the same group in the other list. */
+/** Counts the owners, over all groups, that do not own the same group in the other list. */
 template<typename Choose>
 unsigned moved(unsigned groups, const std::vector<VmInfo> &before, const std::vector<VmInfo> &after, Choose choose)
 {
@@ -65,13 +65,13 @@
     return read;
 }
 
-/** Text of a configuration of one service with \p k owners a group. */
+/** Returns the text of a configuration of one service with \p k owners per group. */
 std::string textWithOwners(unsigned k)
 {
     return R"({"policy": {"owners_per_group": )" + std::to_string(k) + "}, " + configurationText(1, 1).substr(1);
 }
 
-/** Callers that each ask again as soon as they are answered; caller i is at VM i modulo \p vms. */
+/** Callers that each send the next request as soon as the last one is answered; caller i uses VM i modulo \p vms. */
 class ClosedLoop
 {
 public:
--- a/test/performance/FleetMeasureSlopes.cpp
+++ b/test/performance/FleetMeasureSlopes.cpp
@@ -18,7 +18,7 @@
     return static_cast<double>(mallinfo2().uordblks);
 }
 
-/** Control traffic of a quiet fleet by its size. */
+/** Measures the control traffic of an idle fleet by its size. */
 void slopeByVms()
 {
     std::puts("| VMs | services | platform calls/s, fleet | control bytes/s a VM (peers, sent) | received | platform, both ways |");
@@ -51,7 +51,7 @@
     }
 }
 
-/** One proxy that receives \p count heartbeats. */
+/** Measures one proxy that receives \p count heartbeats. */
 void cpuPerHeartbeat()
 {
     std::puts(
@@ -87,7 +87,7 @@
     }
 }
 
-/** Heap of a state by one quantity: the difference between two sizes, divided. */
+/** Measures the heap memory of a state per unit of one quantity: the difference between two sizes, divided. */
 void memorySlopes()
 {
     std::puts("| what | sizes | bytes each |");
--- a/test/performance/OwnersTrial.cpp
+++ b/test/performance/OwnersTrial.cpp
@@ -1,11 +1,11 @@
 /** \file
- * Compares, in a model in virtual time, who keeps the connections to members when a connection belongs to one organisation: every VM for itself, or owners to
- * which the other VMs send their statements.
+ * Compares, in a model in virtual time, policies for keeping connections to members when each connection belongs to one organisation: every VM opens its own,
+ * or the other VMs send their statements to owners.
  *
  * The model has members with slots and a limit of connections, openings that take a slot, statements of three kinds, and organisations of unequal size. It has no
- * faults, leases or positions: it answers only how often a connection is met again, what openings cost, and how long statements wait.
+ * faults, leases or positions: it shows only how often a connection is reused, what opening connections costs, and how long statements wait.
  *
- * Usage: figward_owners_trial [SECONDS]. Prints one line for each deployment, load and way.
+ * Usage: figward_owners_trial [SECONDS]. Prints one line for each deployment, load and policy.
  */
 #include <algorithm>
 #include <array>
@@ -24,18 +24,18 @@
 namespace {
 
 constexpr unsigned zones = 3;
-constexpr double inZoneMs = 0.2; ///< One way.
+constexpr double inZoneMs = 0.2; ///< One-way latency.
 constexpr double betweenZonesMs = 1.4;
 constexpr double openingMs = 12;
-constexpr double fullPauseMs = 30; ///< Mean, after a member refused a connection as full.
+constexpr double fullPauseMs = 30; ///< Mean delay after a member refused a connection because it was full.
 constexpr double budgetMs = 1500;
 
-/** Who keeps connections. */
+/** Policy for keeping connections. */
 enum class Way {
-    EachVm, ///< As it stands: a VM opens for itself.
+    EachVm, ///< Each VM opens connections for itself, as figward does.
     GroupAndZone, ///< One owner for each group and zone.
-    OrganisationAndZone, ///< One for each organisation, group and zone.
-    Organisation, ///< One for each organisation and group, in any zone.
+    OrganisationAndZone, ///< One owner for each organisation, group and zone.
+    Organisation, ///< One owner for each organisation and group, in any zone.
 };
 constexpr std::array ways{Way::EachVm, Way::GroupAndZone, Way::OrganisationAndZone, Way::Organisation};
 
@@ -52,15 +52,15 @@
     unsigned organisations_ = 75;
     unsigned slots_ = 3;
     unsigned connections_ = 42;
-    double load_ = 1; ///< Of what takes 29% of all slots by work alone.
-    double resting_ = 0.25; ///< Part of a member's connections that rest on average.
+    double load_ = 1; ///< Multiple of the load whose work alone takes 29% of all slots.
+    double resting_ = 0.25; ///< Fraction of a member's connections that are idle on average.
 };
 
 struct Kind
 {
     double part_;
     double workMs_;
-    double primary_; ///< Part that only the primary may run.
+    double primary_; ///< Fraction that only the primary may run.
     double aimMs_;
 };
 constexpr std::array kinds{Kind{0.135, 6, 1, 150}, Kind{0.234, 30, 0, 500}, Kind{0.631, 18, 0.2, 250}};
@@ -80,9 +80,9 @@
     std::array<unsigned, kinds.size()> asked_{};
     std::array<unsigned, kinds.size()> inAim_{};
     std::uint64_t openings_ = 0;
-    std::uint64_t refusals_ = 0; ///< Connections, by full members.
-    std::uint64_t waited_ = 0; ///< Statements that found no connection at rest.
-    double workMs_ = 0; ///< Of slots.
+    std::uint64_t refusals_ = 0; ///< Connections refused by full members.
+    std::uint64_t waited_ = 0; ///< Statements that found no idle connection.
+    double workMs_ = 0; ///< Work time of slots.
     std::uint64_t hops_ = 0;
     std::uint64_t hopsBetweenZones_ = 0;
     std::map<unsigned, std::uint64_t> owned_; ///< Statements by owner VM.
@@ -94,7 +94,7 @@
     unsigned connections_ = 0;
 };
 
-/** Who holds a connection, at which member, for whom. */
+/** Holder of a connection, its member, and the organisation it is for. */
 using Pool = std::tuple<unsigned, unsigned, unsigned>;
 
 class Model
@@ -111,7 +111,7 @@
         }
         std::vector<double> sizes;
         for (unsigned rank = 1; rank <= deployment.organisations_; ++rank) {
-            sizes.push_back(1.0 / rank); // A few carry half.
+            sizes.push_back(1.0 / rank); // A few organisations produce half of the load.
         }
         organisations_ = std::discrete_distribution<unsigned>(sizes.begin(), sizes.end());
     }
@@ -181,7 +181,7 @@
         if (uniform() < kinds[statement.kind_].primary_) {
             place = primary;
         } else if (place == primary) {
-            place = (place + 1 + static_cast<unsigned>(random_() % 2)) % zones; // Reads leave the primary its room.
+            place = (place + 1 + static_cast<unsigned>(random_() % 2)) % zones; // Reads avoid the primary to keep its capacity free.
         }
         statement.member_ = group * zones + place;
         ++counts_.asked_[statement.kind_];
@@ -228,7 +228,7 @@
         return same ? inZoneMs : betweenZonesMs;
     }
 
-    /** How long a connection rests: so that the part that is wanted rests on average, if all holders come as often as this one. */
+    /** Idle time before a connection is closed, such that the wanted fraction is idle on average if all holders are equally frequent. */
     double restMs() const
     {
         const double holders = way_ == Way::EachVm         ? deployment_.vms_
--- a/test/performance/ProxyOverhead.cpp
+++ b/test/performance/ProxyOverhead.cpp
@@ -1,7 +1,7 @@
 /** \file
- * Measures what a proxy adds to a statement, and how many statements a second go through one proxy, against calling the stand-in directly.
+ * Measures the latency that a proxy adds to a statement, and the statements per second through one proxy, compared with direct calls to the stand-in.
  *
- * Both ways are measured in turn in the same run, so that what else the machine does weighs on both alike.
+ * Both are measured alternately in the same run, so that other load on the machine affects both equally.
  */
 #include "WireUpstream.h"
 #include "support/LoopbackFleet.h"
@@ -20,10 +20,10 @@
 
 constexpr unsigned connectionLimit = 35;
 constexpr int pairs = 5000;
-constexpr int windowSize = 128; ///< Statements under way at once in the measurement of throughput.
+constexpr int windowSize = 128; ///< Statements in flight at once in the measurement of throughput.
 constexpr int statements = 100'000;
 
-/** A group that takes no time of its own, so that what is measured is the way to it. */
+/** A group that answers without delay, so that only the path to it is measured. */
 Standin::GroupModelConfig instantGroup()
 {
     Standin::GroupModelConfig config = LoopbackFleet::defaultGroup();
@@ -33,7 +33,7 @@
     return config;
 }
 
-/** One connection straight to the stand-in. */
+/** One direct connection to the stand-in. */
 class DirectConnection
 {
 public:
@@ -86,13 +86,13 @@
     return SteadyClock::now() - start;
 }
 
-/** Processor time of this process: callers, proxy and stand-in together. Unlike a rate it hardly depends on what else the machine does. */
+/** Processor time of this process: callers, proxy and stand-in together. Unlike a rate, it hardly depends on other load on the machine. */
 double cpuMicros()
 {
     return 1e6 * static_cast<double>(std::clock()) / CLOCKS_PER_SEC;
 }
 
-/** One statement at a time, by turns directly and through a proxy. */
+/** Measures one statement at a time, alternately directly and through a proxy. */
 void BM_AddedLatency(benchmark::State &state)
 {
     LoopbackFleet fleet(instantGroup());
@@ -123,7 +123,7 @@
 }
 BENCHMARK(BM_AddedLatency)->Iterations(1)->Repetitions(3)->Unit(benchmark::kMillisecond);
 
-/** Keeps a number of statements under way until all have been answered. */
+/** Keeps a number of statements in flight until all have been answered. */
 class Window
 {
 public:
@@ -134,7 +134,7 @@
     {
     }
 
-    /** Returns how many were done. */
+    /** Returns the number of statements done. */
     int run()
     {
         for (int i = 0; i < windowSize; ++i) {
@@ -194,7 +194,7 @@
 }
 BENCHMARK(BM_Throughput)->Iterations(1)->Repetitions(3)->Unit(benchmark::kMillisecond)->UseRealTime();
 
-/** Many statements at a time straight to the stand-in, on as many connections as the group accepts. */
+/** Many statements at a time directly to the stand-in, on as many connections as the group accepts. */
 void BM_ThroughputDirect(benchmark::State &state)
 {
     LoopbackFleet fleet(instantGroup());
--- a/test/performance/ReducerThroughput.cpp
+++ b/test/performance/ReducerThroughput.cpp
@@ -1,7 +1,7 @@
 /** \file
  * Measures the reducer alone: events a second and bytes allocated for a statement, and how both grow with groups and sessions.
  *
- * One proxy owns all groups; members and callers are played without delay. Run: `build/test/figward_reducer_benchmark`.
+ * One proxy owns all groups; members and callers are simulated without delay. Run: `build/test/figward_reducer_benchmark`.
  */
 #include "Reducer.h"
 
@@ -17,7 +17,7 @@
 
 } // namespace
 
-// Not inlined: seeing through one of the pair only, the compiler would take malloc() and delete for a mismatch.
+// Not inlined: if the compiler inlined only one of the pair, it would report a mismatch of malloc() and delete.
 [[gnu::noinline]] void *operator new(std::size_t size)
 {
     allocatedBytes += size;
@@ -81,7 +81,7 @@
         pass(std::chrono::milliseconds(300));
     }
 
-    /** One request from its arrival to its answer. */
+    /** Processes one request from its arrival to its answer. */
     void request(Request request)
     {
         answered_ = false;
--- a/test/performance/ReplicaReads.cpp
+++ b/test/performance/ReplicaReads.cpp
@@ -1,7 +1,7 @@
 /** \file
- * Measures, in virtual time, the share of reads that replicas serve and the latency paid for it, by replication lag and by what the read asks.
+ * Measures, in virtual time, the share of reads that replicas serve and the resulting latency, by replication lag and by the consistency that the read requires.
  *
- * Beside it, in the same run and for the same reads: the same reads sent to the primary always, and the share that a rule without waiting or ages would have
+ * For comparison, in the same run: the same reads always sent to the primary, and the share that a rule without waiting or ages would have
  * sent to a replica (the token is in some replica's last known position). Usage: ReplicaReads [SEED].
  */
 #include "support/World.h"
@@ -23,7 +23,7 @@
 constexpr Duration readInterval = 5 * millisecond;
 constexpr std::size_t sessions = 16;
 
-/** What a read asks. */
+/** Consistency that a read requires. */
 struct Need
 {
     const char *name_;
@@ -44,11 +44,11 @@
     std::uint64_t reads_ = 0;
     std::uint64_t done_ = 0;
     std::uint64_t replica_ = 0;
-    std::uint64_t ruleReplica_ = 0; ///< That the rule without waiting or ages would have sent to a replica.
+    std::uint64_t ruleReplica_ = 0; ///< Reads that the rule without waiting or ages would have sent to a replica.
     std::vector<Duration> latencies_;
 };
 
-/** Sessions that write, and read what they need at other proxies. */
+/** Sessions that write at one proxy and read with a required consistency at others. */
 class Reads
 {
 public:
@@ -128,7 +128,7 @@
         });
     }
 
-    /** By the positions that the first owner knows now. */
+    /** Evaluated with the positions currently known to the first owner. */
     bool ruleAllowsReplica(const SessionToken &token)
     {
         const auto point = token.points_.find(World::groupId(0));
--- a/test/performance/SessionFleetMeasure.cpp
+++ b/test/performance/SessionFleetMeasure.cpp
@@ -1,7 +1,8 @@
 /** \file
- * Measures what a VM that serves database sessions costs by the number of VMs: processor time, heartbeats, calls to the store and connections opened, in virtual time.
+ * Measures the cost of a VM that serves database sessions, by the number of VMs: processor time, heartbeats, calls to the store and connections opened,
+ * in virtual time.
  *
- * Usage: figward_session_fleet_measure [VMS] [GROUPS] [SCALE] [SECONDS] [CONNECTIONS]; without arguments 24, 77 and 295 VMs before 20 groups.
+ * Usage: figward_session_fleet_measure [VMS] [GROUPS] [SCALE] [SECONDS] [CONNECTIONS]; without arguments 24, 77 and 295 VMs with 20 groups.
  */
 #include "support/SessionLoad.h"
 
@@ -24,7 +25,7 @@
     unsigned groups_ = 0;
     double scale_ = 0;
     unsigned seconds_ = 0;
-    unsigned connections_ = 125; ///< That a member takes.
+    unsigned connections_ = 125; ///< Connections that a member accepts.
 };
 
 double processorSeconds()
@@ -59,7 +60,7 @@
     const double before = processorSeconds();
     SessionLoad load(world, routes, shape.vms_, 1);
     load.run(std::chrono::seconds(shape.seconds_));
-    const double seconds = shape.seconds_ + 8.0; // The longest budget of an operation runs out before the load ends.
+    const double seconds = shape.seconds_ + 8.0; // The longest timeout of an operation expires before the load ends.
     const double spent = processorSeconds() - before;
     std::printf("  %.2f ms of processor time a VM and second (with members and clients), %.1f heartbeats sent a VM and second, store calls by the end\n",
                 1000 * spent / seconds / shape.vms_,
--- a/test/performance/SessionGap.cpp
+++ b/test/performance/SessionGap.cpp
@@ -1,8 +1,8 @@
 /** \file
  * Measures, in virtual time, how long writes of database sessions stall when the primary is lost or replaced.
  *
- * The gap is the longest time in which no client is told that a write is done, from shortly before the fault to 12 s after it. Printed by fault and state of the
- * platform's store: median, p99 and longest of all seeds in milliseconds, and in how many seeds writes did not come back. Usage: figward_session_gap [SEEDS].
+ * The gap is the longest time in which no write is acknowledged to any client, from shortly before the fault to 12 s after it. Printed by fault and state of the
+ * platform's store: median, p99 and longest of all seeds in milliseconds, and in how many seeds writes did not resume. Usage: figward_session_gap [SEEDS].
  */
 #include "support/SessionWorld.h"
 
@@ -24,8 +24,8 @@
 enum class Fault {
     Crash, ///< The primary's process ends.
     Dark, ///< The primary answers nobody, and sends nothing to its replicas.
-    Cut, ///< All VMs but one lose their way to the primary, and so do its replicas.
-    Release, ///< The primary says that it leaves, and works on.
+    Cut, ///< All VMs but one, and all replicas, lose their connections to the primary.
+    Release, ///< The primary announces that it gives up its role, and continues to work.
 };
 constexpr std::array faultNames{"crash", "dark", "cut", "release"};
 enum class StoreState {
@@ -34,7 +34,7 @@
 };
 constexpr std::array storeNames{"up", "down"};
 
-/** One client a VM that writes without end. */
+/** One client per VM that writes continuously. */
 class Writers
 {
 public:
@@ -47,7 +47,7 @@
         }
     }
 
-    /** Sends the next write of each client whose last one was answered; whether one of these was done. */
+    /** Sends the next write of each client whose last one was answered; returns whether one of these was done. */
     bool step()
     {
         bool done = false;
@@ -84,7 +84,7 @@
     }
 }
 
-/** The gap; the whole time that was watched if writes did not come back. */
+/** Returns the gap; the whole observed time if writes did not resume. */
 Duration measure(std::uint64_t seed, Fault fault, StoreState store)
 {
     SessionWorldConfig config;
