--- a/test/fuzz/Actions.cpp
+++ b/test/fuzz/Actions.cpp
@@ -155,7 +155,7 @@
         rc::detail::TestParams params;
         params.seed = seed;
         params.maxSuccess = run.trialsPerSeed_;
-        params.maxSize = run.longest_;
+        params.maxSize = run.maxActions_;
         params.disableShrinking = !run.shrink_;
         const rc::detail::TestResult result = rc::detail::checkTestable(property, rc::detail::TestMetadata{}, params);
         if (!result.is<rc::detail::SuccessResult>()) {
--- a/test/fuzz/Actions.h
+++ b/test/fuzz/Actions.h
@@ -16,7 +16,7 @@
     std::uint64_t firstSeed_ = 1;
     std::uint64_t seeds_ = 1;
     int trialsPerSeed_ = 10;
-    int longest_ = 120; ///< Maximum number of actions in a trial.
+    int maxActions_ = 120; ///< Maximum number of actions in a trial.
     bool shrink_ = true;
 };
 
--- a/test/fuzz/ConfigurationUnderFaults.cpp
+++ b/test/fuzz/ConfigurationUnderFaults.cpp
@@ -20,13 +20,16 @@
 constexpr Duration healTime = std::chrono::seconds(7);
 constexpr Duration hiddenTime = std::chrono::seconds(1);
 constexpr unsigned rounds = 3;
-constexpr unsigned mostFrozen = 2;
+constexpr unsigned maxFrozenVms = 2;
 
-/** A run of several rounds. Each changes the configuration while the store is unresponsive to some VMs, watches and connections receive nothing, and VMs freeze during distribution. */
-class FaultyDay
+/**
+ * A run of several rounds. Each changes the configuration while the store is unresponsive to some VMs, watches and connections receive nothing, and VMs freeze
+ * during distribution.
+ */
+class FaultyRun
 {
 public:
-    explicit FaultyDay(std::uint64_t seed)
+    explicit FaultyRun(std::uint64_t seed)
         : random_(seed)
         , vms_(chooseSize())
         , world_(worldConfig(vms_, seed))
@@ -73,15 +76,15 @@
     void playRound()
     {
         // At least one VM keeps running and receives answers from the store; otherwise no VM could learn of the change.
-        const unsigned sound = static_cast<unsigned>(random_() % vms_);
-        disturbStore(sound);
+        const unsigned healthyVm = static_cast<unsigned>(random_() % vms_);
+        disturbStore(healthyVm);
         world_.run(randomBelow(std::chrono::seconds(3)));
         if (chance(50)) {
-            hideFromWatches();
+            silenceWatches();
         }
         world_.newConfiguration([](SessionConfiguration &) {});
         expected_ = ConfigVersion(expected_.value() + 2);
-        const std::set<unsigned> frozen = freezeSome(sound);
+        const std::set<unsigned> frozen = freezeSome(healthyVm);
         runAndCompare(vms_ > 12 ? applyBoundOfMany : applyBound);
         for (unsigned vm = 0; vm < vms_; ++vm) {
             if (!frozen.contains(vm) && versionAt(vm) < expected_) {
@@ -91,10 +94,10 @@
         heal();
     }
 
-    void disturbStore(unsigned sound)
+    void disturbStore(unsigned healthyVm)
     {
         for (unsigned vm = 0; vm < vms_; ++vm) {
-            world_.cutVmFromStore(vm, vm != sound && chance(50));
+            world_.cutVmFromStore(vm, vm != healthyVm && chance(50));
         }
         world_.watchesAreDeaf(chance(50));
         if (chance(30)) {
@@ -105,7 +108,7 @@
     }
 
     /** For a second around the change no watch receives anything, then the store discards its history. */
-    void hideFromWatches()
+    void silenceWatches()
     {
         world_.watchesAreSilent(true);
         world_.run(randomBelow(hiddenTime));
@@ -115,12 +118,12 @@
         });
     }
 
-    std::set<unsigned> freezeSome(unsigned sound)
+    std::set<unsigned> freezeSome(unsigned healthyVm)
     {
         std::set<unsigned> frozen;
-        for (unsigned n = 0; n < mostFrozen; ++n) {
+        for (unsigned n = 0; n < maxFrozenVms; ++n) {
             const unsigned vm = static_cast<unsigned>(random_() % vms_);
-            if (vm != sound && frozen.insert(vm).second) {
+            if (vm != healthyVm && frozen.insert(vm).second) {
                 const Duration delay = chance(50) ? randomBelow(std::chrono::milliseconds(30)) : randomBelow(std::chrono::seconds(2));
                 world_.after(delay, [this, vm] { world_.freezeVm(vm, true); });
                 world_.after(delay + freezeTime, [this, vm] { world_.freezeVm(vm, false); });
@@ -182,7 +185,7 @@
 // an earlier configuration.
 TEST_P(ConfigurationUnderFaults, isInForceInTimeAndNeverReverts)
 {
-    EXPECT_THAT(FaultyDay(GetParam()).play(), IsEmpty());
+    EXPECT_THAT(FaultyRun(GetParam()).play(), IsEmpty());
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, ConfigurationUnderFaults, Range<std::uint64_t>(1, 61), PrintToStringParamName());
@@ -192,6 +195,6 @@
     const std::uint64_t first = setting("FIGWARD_FUZZ_FIRST", 1000);
     const std::uint64_t count = setting("FIGWARD_FUZZ_SEEDS", 2000);
     for (std::uint64_t seed = first; seed < first + count; ++seed) {
-        EXPECT_THAT(FaultyDay(seed).play(), IsEmpty()) << "seed " << seed;
+        EXPECT_THAT(FaultyRun(seed).play(), IsEmpty()) << "seed " << seed;
     }
 }
--- a/test/fuzz/FleetUnderFaults.cpp
+++ b/test/fuzz/FleetUnderFaults.cpp
@@ -20,7 +20,7 @@
 constexpr unsigned zones = 3;
 constexpr unsigned connectionLimit = 35;
 constexpr unsigned slots = 5;
-constexpr Duration settled = seconds(3); // Longer than a quota increase or the end of a loan takes.
+constexpr Duration settleTime = seconds(3); // Longer than a quota increase or the end of a loan takes.
 const GroupId ledger("group-0");
 
 enum class Step {
@@ -91,7 +91,7 @@
         if (!agreed) {
             disagreedAt_ = fleet.now();
         }
-        if (fleet.now() - disagreedAt_ > settled) {
+        if (fleet.now() - disagreedAt_ > settleTime) {
             RC_ASSERT(connectionSum <= connectionLimit);
             RC_ASSERT(slotSum <= slots);
         }
--- a/test/fuzz/LineSafeguardsMatter.cpp
+++ b/test/fuzz/LineSafeguardsMatter.cpp
@@ -105,8 +105,8 @@
     const auto violationsWith = [](const SessionWorld::BeforeEvent &beforeEvent) {
         std::vector<std::string> violations;
         constexpr Duration step = std::chrono::microseconds(250);
-        constexpr Duration whole = std::chrono::milliseconds(16); // Round trip of a write.
-        for (Duration reset{}; reset < whole; reset += step) {
+        constexpr Duration roundTrip = std::chrono::milliseconds(16); // Round trip of a write.
+        for (Duration reset{}; reset < roundTrip; reset += step) {
             SessionWorld world;
             world.setBeforeEvent(beforeEvent);
             world.run(std::chrono::seconds(3));
--- a/test/fuzz/LineTrial.cpp
+++ b/test/fuzz/LineTrial.cpp
@@ -69,39 +69,39 @@
 /** Starts one fault and schedules its end. */
 void injectFault(SessionWorld &world, std::mt19937_64 &random)
 {
-    const Duration lasting = std::chrono::milliseconds(300 + random() % 6000);
+    const Duration faultDuration = std::chrono::milliseconds(300 + random() % 6000);
     const unsigned vm = random() % vms;
     const unsigned member = random() % members;
     const unsigned kind = random() % 10;
-    world.note(absl::StrCat("fault ", kind, " vm ", vm, " member ", member, " for ", toMillis(lasting), " ms"));
+    world.note(absl::StrCat("fault ", kind, " vm ", vm, " member ", member, " for ", toMillis(faultDuration), " ms"));
     switch (kind) {
     case 0:
         world.crashMember(member);
-        world.after(lasting, [&world, member] { world.restartMember(member); });
+        world.after(faultDuration, [&world, member] { world.restartMember(member); });
         break;
     case 1:
         world.killVm(vm);
-        world.after(lasting / 4, [&world, vm] { world.startVm(vm); });
+        world.after(faultDuration / 4, [&world, vm] { world.startVm(vm); });
         break;
     case 2:
         world.freezeVm(vm, true);
-        world.after(lasting, [&world, vm] { world.freezeVm(vm, false); });
+        world.after(faultDuration, [&world, vm] { world.freezeVm(vm, false); });
         break;
     case 3:
         world.storeDown(true);
-        world.after(lasting, [&world] { world.storeDown(false); });
+        world.after(faultDuration, [&world] { world.storeDown(false); });
         break;
     case 4:
         world.storeLosesAnswers(true);
-        world.after(lasting, [&world] { world.storeLosesAnswers(false); });
+        world.after(faultDuration, [&world] { world.storeLosesAnswers(false); });
         break;
     case 5:
         world.cutVmFromMember(vm, member, true);
-        world.after(lasting, [&world, vm, member] { world.cutVmFromMember(vm, member, false); });
+        world.after(faultDuration, [&world, vm, member] { world.cutVmFromMember(vm, member, false); });
         break;
     case 6:
         world.cutVmFromStore(vm, true);
-        world.after(lasting, [&world, vm] { world.cutVmFromStore(vm, false); });
+        world.after(faultDuration, [&world, vm] { world.cutVmFromStore(vm, false); });
         break;
     case 7: // One VM can reach only one member.
         for (unsigned other = 0; other < vms; ++other) {
@@ -110,7 +110,7 @@
                 world.cutVmFromMember(other, member, true);
             }
         }
-        world.after(lasting, [&world, vm, member] {
+        world.after(faultDuration, [&world, vm, member] {
             for (unsigned other = 0; other < vms; ++other) {
                 world.cutVms(vm, other, false);
                 world.cutVmFromMember(other, member, false);
@@ -119,11 +119,11 @@
         break;
     case 8:
         world.group().member(SessionWorld::memberId(member)).lag_ = std::chrono::milliseconds(8 + random() % 2000);
-        world.after(lasting, [&world, member] { world.group().member(SessionWorld::memberId(member)).lag_ = std::chrono::milliseconds(8); });
+        world.after(faultDuration, [&world, member] { world.group().member(SessionWorld::memberId(member)).lag_ = std::chrono::milliseconds(8); });
         break;
     default:
         world.promotionsDown(true);
-        world.after(lasting, [&world] { world.promotionsDown(false); });
+        world.after(faultDuration, [&world] { world.promotionsDown(false); });
         break;
     }
 }
--- a/test/fuzz/Oracle.cpp
+++ b/test/fuzz/Oracle.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-std::string nameOf(const AskedWrite &write)
+std::string describeWrite(const RequestedWrite &write)
 {
     const std::string key = write.key_ ? toString(write.key_->session_) + "#" + std::to_string(write.key_->sequence_.value()) : "no key";
     return write.group_.value() + " " + key + " \"" + (write.bodies_.empty() ? "" : write.bodies_.back()) + "\"";
@@ -31,23 +31,23 @@
     return tag;
 }
 
-WriteNumber Oracle::ask(AskedWrite write)
+WriteNumber Oracle::ask(RequestedWrite write)
 {
     writes_.push_back(std::move(write));
     return writes_.size() - 1;
 }
 
-AskedWrite &Oracle::write(WriteNumber number)
+RequestedWrite &Oracle::write(WriteNumber number)
 {
     return writes_.at(number);
 }
 
-void Oracle::tell(WriteNumber number, const std::optional<Answer> &answer)
+void Oracle::recordAnswer(WriteNumber number, const std::optional<Answer> &answer)
 {
     if (!answer) {
         return;
     }
-    AskedWrite &write = writes_.at(number);
+    RequestedWrite &write = writes_.at(number);
     counts_.unknown_ += answer->outcome_ == Outcome::Unknown ? 1 : 0;
     if (answer->outcome_ == Outcome::NotRun) {
         ++counts_.notRun_;
@@ -58,14 +58,14 @@
         write.done_ = true;
         const auto point = answer->token_.points_.find(write.group_);
         if (point == answer->token_.points_.end()) {
-            violate("done, but the token has no log point: " + nameOf(write));
+            violate("done, but the token has no log point: " + describeWrite(write));
             return;
         }
         write.point_ = point->second;
         checkAnswerBelongs(write, *answer);
     }
     if (write.done_ && write.notRun_) {
-        violate("reported as both done and not run: " + nameOf(write));
+        violate("reported as both done and not run: " + describeWrite(write));
     }
 }
 
@@ -105,29 +105,29 @@
             violate("a key ran twice: " + toString(entry.key_->session_) + "#" + std::to_string(entry.key_->sequence_.value()));
         }
     }
-    for (const AskedWrite &write : writes_) {
+    for (const RequestedWrite &write : writes_) {
         if (write.group_ != group || !write.key_) {
             continue;
         }
         const auto found = ran.find(*write.key_);
         if (found == ran.end()) {
             if (write.done_) {
-                violate("acknowledged and lost: " + nameOf(write));
+                violate("acknowledged and lost: " + describeWrite(write));
             }
             continue;
         }
         if (write.notRun_) {
-            violate("reported as not run, but ran: " + nameOf(write));
+            violate("reported as not run, but ran: " + describeWrite(write));
         }
         if (write.done_ && found->second->point_ > write.point_) {
-            violate("its answer's token says " + toString(write.point_) + " and it is at " + toString(found->second->point_) + ": " + nameOf(write));
+            violate("its answer's token says " + toString(write.point_) + " and it is at " + toString(found->second->point_) + ": " + describeWrite(write));
         }
         std::vector<std::string> bodies;
         for (const Standin::Operation &operation : found->second->operations_) {
             bodies.push_back("append " + operation.key_ + " " + operation.argument_);
         }
         if (bodies != write.bodies_) {
-            violate("ran with other statements than requested: " + nameOf(write));
+            violate("ran with other statements than requested: " + describeWrite(write));
         }
     }
 }
@@ -142,12 +142,12 @@
     return violations_;
 }
 
-void Oracle::checkAnswerBelongs(const AskedWrite &write, const Answer &answer)
+void Oracle::checkAnswerBelongs(const RequestedWrite &write, const Answer &answer)
 {
     const bool transaction = answer.body_ == "committed";
     const bool belongs = transaction || absl::EndsWith(answer.body_, tagOf(write.bodies_.back()));
     if (!belongs) {
-        violate("the answer \"" + answer.body_ + "\" is not that of " + nameOf(write));
+        violate("the answer \"" + answer.body_ + "\" is not that of " + describeWrite(write));
     }
 }
 
--- a/test/fuzz/Oracle.h
+++ b/test/fuzz/Oracle.h
@@ -19,7 +19,7 @@
 using WriteNumber = std::size_t;
 
 /** A write, or a transaction as a whole. */
-struct AskedWrite
+struct RequestedWrite
 {
     GroupId group_;
     std::optional<IdempotencyKey> key_; ///< Empty until the commit of a transaction is requested.
@@ -58,10 +58,10 @@
 public:
     /** Returns a tag that no other write has. */
     std::string newTag(const std::string &key, WriteNumber write);
-    WriteNumber ask(AskedWrite write);
-    [[nodiscard]] AskedWrite &write(WriteNumber number);
+    WriteNumber ask(RequestedWrite write);
+    [[nodiscard]] RequestedWrite &write(WriteNumber number);
     /** Records the outcome of a write as its caller received it; no answer if the proxy died. */
-    void tell(WriteNumber number, const std::optional<Answer> &answer);
+    void recordAnswer(WriteNumber number, const std::optional<Answer> &answer);
     void check(const CheckedRead &read);
     /** Compares all answers to callers with the final log of \p group. */
     void checkLog(const GroupId &group, const Standin::GroupLog &log);
@@ -71,9 +71,9 @@
     [[nodiscard]] const std::vector<std::string> &violations() const;
 
 private:
-    void checkAnswerBelongs(const AskedWrite &write, const Answer &answer);
+    void checkAnswerBelongs(const RequestedWrite &write, const Answer &answer);
 
-    std::vector<AskedWrite> writes_;
+    std::vector<RequestedWrite> writes_;
     std::map<std::string, WriteNumber> tags_;
     std::uint64_t nextTag_ = 1;
     std::vector<std::string> violations_;
--- a/test/fuzz/OracleFindsMissingSafeguards.cpp
+++ b/test/fuzz/OracleFindsMissingSafeguards.cpp
@@ -16,7 +16,7 @@
 void expectFinding(const std::function<WorldHooks(World &)> &hooksOf)
 {
     FuzzCounts counts;
-    const FuzzRun run{.firstSeed_ = 1, .seeds_ = seedsTried, .longest_ = 200, .shrink_ = false};
+    const FuzzRun run{.firstSeed_ = 1, .seeds_ = seedsTried, .maxActions_ = 200, .shrink_ = false};
     const std::optional<FuzzFinding> finding = fuzz(run, counts, [&](Trial &trial) { trial.world().hooks_ = hooksOf(trial.world()); });
     ASSERT_TRUE(finding.has_value()) << "no violation detected in " << seedsTried << " seeds";
     const std::size_t mark = finding->report_.find("trial.trace())\n\n");
--- a/test/fuzz/SessionsUnderFaults.cpp
+++ b/test/fuzz/SessionsUnderFaults.cpp
@@ -40,7 +40,7 @@
 TEST(SessionsUnderFaults, readInATransactionIsHeldAgainstTheToken)
 {
     for (const std::uint64_t seed : {500004, 1000020, 3000058, 3002833}) {
-        expectNoFinding({.firstSeed_ = seed, .seeds_ = 1, .longest_ = 200});
+        expectNoFinding({.firstSeed_ = seed, .seeds_ = 1, .maxActions_ = 200});
     }
 }
 
@@ -55,12 +55,12 @@
 // That primary has been replaced, no majority confirms it, and its answer lacks a write that is older than the maximum age.
 TEST(SessionsUnderFaults, statedAgeHoldsAtAReplacedPrimary)
 {
-    expectNoFinding({.firstSeed_ = 1014, .longest_ = 200});
+    expectNoFinding({.firstSeed_ = 1014, .maxActions_ = 200});
 }
 
 // FIGWARD_FUZZ_SHRINK=1 shrinks a failing trial before it is reported, which can take minutes.
 // `ctest -L fuzz-long` runs FIGWARD_FUZZ_SEEDS seeds (2000 unless set), from FIGWARD_FUZZ_FIRST on (1000 unless set).
 TEST(LongSessionsUnderFaults, keepEveryPromise)
 {
-    expectNoFinding({.firstSeed_ = fromEnvironment("FIGWARD_FUZZ_FIRST", 1000), .seeds_ = fromEnvironment("FIGWARD_FUZZ_SEEDS", 2000), .longest_ = 200});
+    expectNoFinding({.firstSeed_ = fromEnvironment("FIGWARD_FUZZ_FIRST", 1000), .seeds_ = fromEnvironment("FIGWARD_FUZZ_SEEDS", 2000), .maxActions_ = 200});
 }
--- a/test/fuzz/Trial.cpp
+++ b/test/fuzz/Trial.cpp
@@ -19,11 +19,11 @@
 constexpr Duration afterEffects = 15 * second;
 constexpr Duration settleTime = 20 * second;
 constexpr Duration answerSlack = std::chrono::milliseconds(50);
-constexpr std::array timeouts{second / 5, second, 3 * second};
-constexpr std::array stalenesses{second / 10, second, 10 * second};
+constexpr std::array timeoutChoices{second / 5, second, 3 * second};
+constexpr std::array maxStalenessChoices{second / 10, second, 10 * second};
 constexpr std::size_t tracedLines = 3000;
 constexpr unsigned often = 30;
-constexpr int patientTries = 5;
+constexpr int maxWriteAttempts = 5;
 
 std::string keyName(std::size_t choice)
 {
@@ -37,7 +37,7 @@
     request.service_ = ServiceId("ledger");
     request.group_ = group;
     request.class_ = ClassId("fitment");
-    request.timeout_ = timeouts.at(choice % timeouts.size());
+    request.timeout_ = timeoutChoices.at(choice % timeoutChoices.size());
     return request;
 }
 
@@ -179,7 +179,7 @@
         return;
     }
     const WriteNumber number = *session.open_;
-    const AskedWrite &write = oracle_.write(number);
+    const RequestedWrite &write = oracle_.write(number);
     if (write.bodies_.size() != 1) {
         return; // Only the key of a transaction's commit is kept, not its statements.
     }
@@ -194,11 +194,11 @@
     request.repeated_ = session.open_ == number;
     request.acknowledgedBelow_ = request.key_->sequence_;
     ask(session, proxy, std::move(request), [this, &session, number](const std::optional<Answer> &answer) {
-        oracle_.tell(number, answer);
+        oracle_.recordAnswer(number, answer);
         const bool known = answer && answer->outcome_ != Outcome::Unknown;
         session.open_ = known ? std::nullopt : std::optional(number);
         if (answer && answer->outcome_ == Outcome::Done) {
-            noteDone(session, number);
+            recordDone(session, number);
         }
     });
 }
@@ -207,18 +207,18 @@
 {
     const GroupId group = World::groupId(action.choice_ % world_.groups());
     const std::string key = keyName(action.choice_ / 2);
-    const std::size_t manner = action.choice_ / 4 % 4;
+    const std::size_t variant = action.choice_ / 4 % 4;
     Request request = requestOf(RequestKind::Read, group, action.choice_);
     request.body_ = "get " + key;
-    const bool withToken = manner != 0;
-    const bool stated = manner != 1;
+    const bool withToken = variant != 0;
+    const bool withMaxStaleness = variant != 1;
     CheckedRead read{.group_ = group, .key_ = key};
-    if (stated) {
-        request.maxStaleness_ = stalenesses.at(action.choice_ / 16 % stalenesses.size());
+    if (withMaxStaleness) {
+        request.maxStaleness_ = maxStalenessChoices.at(action.choice_ / 16 % maxStalenessChoices.size());
         read.mustContain_ = writtenBefore(group, key, world_.now() - *request.maxStaleness_);
     }
     if (withToken) {
-        const std::set<std::string> &told = session.told_[{group, key}];
+        const std::set<std::string> &told = session.acknowledgedTags_[{group, key}];
         read.mustContain_.insert(told.begin(), told.end());
     }
     const SessionToken token = std::exchange(session.token_, withToken ? session.token_ : SessionToken{});
@@ -252,8 +252,8 @@
 
 void Trial::checkOutcome(const Request &request, ProxyIndex proxy, Time askedAt, const std::optional<Answer> &answer)
 {
-    const bool excused = world_.now() < excusedUntil_ || askedAt < excusedUntil_;
-    if (excused || !answer) {
+    const bool faultIsPossible = world_.now() < faultEffectsUntil_ || askedAt < faultEffectsUntil_;
+    if (faultIsPossible || !answer) {
         return;
     }
     if (answer->outcome_ == Outcome::Unknown) {
@@ -264,12 +264,12 @@
     }
 }
 
-void Trial::noteDone(Session &session, WriteNumber number)
+void Trial::recordDone(Session &session, WriteNumber number)
 {
-    const AskedWrite &write = oracle_.write(number);
+    const RequestedWrite &write = oracle_.write(number);
     for (const std::string &body : write.bodies_) {
         const std::vector<std::string> words = absl::StrSplit(body, ' ');
-        session.told_[{write.group_, words.at(1)}].insert(words.at(2));
+        session.acknowledgedTags_[{write.group_, words.at(1)}].insert(words.at(2));
         acknowledged_[{write.group_, words.at(1)}].push_back({words.at(2), world_.now()});
     }
 }
@@ -290,10 +290,10 @@
 }
 
 /** Writes through \p proxy; if the answer is "not run" with a retry delay, retries after that delay with a new key. */
-std::optional<Answer> Trial::writePatiently(ProxyIndex proxy, Request request)
+std::optional<Answer> Trial::writeWithRetries(ProxyIndex proxy, Request request)
 {
     std::optional<Answer> answer;
-    for (int tries = 0; tries < patientTries; ++tries) {
+    for (int tries = 0; tries < maxWriteAttempts; ++tries) {
         answer = world_.askAndWait(proxy, request);
         const bool again = answer && answer->outcome_ == Outcome::NotRun && answer->retryAfter_;
         if (!again) {
@@ -313,7 +313,7 @@
         Request request = requestOf(RequestKind::Write, id, 1);
         request.body_ = "append probe x";
         request.key_ = IdempotencyKey{{1000, sessionCount + 1 + proxy}, Sequence(group + 1)};
-        const std::optional<Answer> answer = writePatiently(proxy, request);
+        const std::optional<Answer> answer = writeWithRetries(proxy, request);
         if (!answer || answer->outcome_ != Outcome::Done) {
             const std::string told = answer ? describe(*answer) : "no answer";
             oracle_.violate("no write through vm" + std::to_string(proxy) + " to " + id.value() + " after all faults: " + told);
@@ -347,7 +347,7 @@
     const std::size_t zone = action.who_ % 3;
     const std::size_t otherZone = (zone + 1 + action.where_ % 2) % 3;
     const Time ends = world_.now() + action.time_;
-    excusedUntil_ = std::max(excusedUntil_, ends + afterEffects);
+    faultEffectsUntil_ = std::max(faultEffectsUntil_, ends + afterEffects);
     switch (action.kind_) {
     case ActionKind::CutZones:
         world_.setZonesCut(zone, otherZone, true);
--- a/test/fuzz/Trial.h
+++ b/test/fuzz/Trial.h
@@ -50,7 +50,7 @@
     Sequence next_{1};
     bool busy_ = false;
     std::optional<WriteNumber> open_; ///< Write whose outcome is unknown to the caller.
-    std::map<std::pair<GroupId, std::string>, std::set<std::string>> told_; ///< Tags of the writes acknowledged to the session, by value.
+    std::map<std::pair<GroupId, std::string>, std::set<std::string>> acknowledgedTags_; ///< Tags of the writes acknowledged to the session, by value.
     TransactionId transaction_;
     ProxyIndex transactionProxy_ = 0;
     WriteNumber transactionWrite_ = 0;
@@ -93,10 +93,10 @@
     void sendWrite(Session &session, ProxyIndex proxy, WriteNumber number, Request request);
     void ask(Session &session, ProxyIndex proxy, Request request, std::function<void(const std::optional<Answer> &)> reply);
     static void endTransaction(Session &session);
-    Request stepOf(const Session &session, RequestKind kind);
-    void noteDone(Session &session, WriteNumber number);
+    Request makeStepRequest(const Session &session, RequestKind kind);
+    void recordDone(Session &session, WriteNumber number);
     void checkOutcome(const Request &request, ProxyIndex proxy, Time askedAt, const std::optional<Answer> &answer);
-    std::optional<Answer> writePatiently(ProxyIndex proxy, Request request);
+    std::optional<Answer> writeWithRetries(ProxyIndex proxy, Request request);
     void checkRecovered(std::size_t group);
     [[nodiscard]] std::set<std::string> writtenBefore(const GroupId &group, const std::string &key, Time before) const;
     Session *freeSession(std::size_t who);
@@ -106,7 +106,7 @@
     Oracle oracle_;
     std::vector<Session> sessions_;
     std::map<std::pair<GroupId, std::string>, std::vector<Acknowledged>> acknowledged_;
-    Time excusedUntil_; ///< Until this time, faults or their after-effects may explain an unknown outcome.
+    Time faultEffectsUntil_; ///< Until this time, faults or their after-effects may explain an unknown outcome.
     std::size_t unanswered_ = 0;
 };
 
--- a/test/fuzz/TrialTransactions.cpp
+++ b/test/fuzz/TrialTransactions.cpp
@@ -16,13 +16,13 @@
         begin(session, action);
         return;
     }
-    constexpr std::size_t manners = 9;
-    const std::size_t manner = action.choice_ / 4 % manners;
-    if (manner < 4) {
+    constexpr std::size_t variantCount = 9;
+    const std::size_t variant = action.choice_ / 4 % variantCount;
+    if (variant < 4) {
         stepWrite(session, action);
-    } else if (manner < 6) {
+    } else if (variant < 6) {
         stepRead(session, action);
-    } else if (manner < 8) {
+    } else if (variant < 8) {
         commit(session);
     } else if (action.choice_ % 2 == 0) {
         rollBack(session);
@@ -50,7 +50,7 @@
     });
 }
 
-Request Trial::stepOf(const Session &session, RequestKind kind)
+Request Trial::makeStepRequest(const Session &session, RequestKind kind)
 {
     Request request;
     request.kind_ = kind;
@@ -65,7 +65,7 @@
 {
     const WriteNumber number = session.transactionWrite_;
     const std::string key = "k" + std::to_string(action.choice_ / 2 % keyCount);
-    Request request = stepOf(session, RequestKind::Write);
+    Request request = makeStepRequest(session, RequestKind::Write);
     request.body_ = "append " + key + " " + oracle_.newTag(key, number);
     const std::string body = request.body_;
     ask(session, session.transactionProxy_, std::move(request), [this, &session, number, body](const std::optional<Answer> &answer) {
@@ -82,13 +82,13 @@
     const WriteNumber number = session.transactionWrite_;
     const GroupId group = oracle_.write(number).group_;
     CheckedRead read{.group_ = group, .key_ = "k" + std::to_string(action.choice_ / 2 % keyCount), .transaction_ = number};
-    read.mustContain_ = session.told_[{group, read.key_}];
+    read.mustContain_ = session.acknowledgedTags_[{group, read.key_}];
     for (const std::string &body : oracle_.write(number).bodies_) {
         if (body.starts_with("append " + read.key_ + " ")) {
             read.mustContain_.insert(body.substr(body.rfind(' ') + 1));
         }
     }
-    Request request = stepOf(session, RequestKind::Read);
+    Request request = makeStepRequest(session, RequestKind::Read);
     request.body_ = "get " + read.key_;
     ask(session, session.transactionProxy_, std::move(request), [this, &session, read](const std::optional<Answer> &answer) mutable {
         if (!answer || answer->outcome_ != Outcome::Done) {
@@ -104,7 +104,7 @@
 void Trial::commit(Session &session)
 {
     const WriteNumber number = session.transactionWrite_;
-    Request request = stepOf(session, RequestKind::Commit);
+    Request request = makeStepRequest(session, RequestKind::Commit);
     request.key_ = IdempotencyKey{session.id_, session.next_};
     request.acknowledgedBelow_ = session.next_;
     session.next_ = Sequence(session.next_.value() + 1);
@@ -113,16 +113,16 @@
     const ProxyIndex proxy = session.transactionProxy_;
     endTransaction(session);
     ask(session, proxy, std::move(request), [this, &session, number](const std::optional<Answer> &answer) {
-        oracle_.tell(number, answer);
+        oracle_.recordAnswer(number, answer);
         if (answer && answer->outcome_ == Outcome::Done) {
-            noteDone(session, number);
+            recordDone(session, number);
         }
     });
 }
 
 void Trial::rollBack(Session &session)
 {
-    Request request = stepOf(session, RequestKind::Rollback);
+    Request request = makeStepRequest(session, RequestKind::Rollback);
     const ProxyIndex proxy = session.transactionProxy_;
     endTransaction(session);
     ask(session, proxy, std::move(request), [](const std::optional<Answer> &) {});
--- a/test/performance/OwnersTrial.cpp
+++ b/test/performance/OwnersTrial.cpp
@@ -26,23 +26,23 @@
 constexpr unsigned zones = 3;
 constexpr double inZoneMs = 0.2; ///< One-way latency.
 constexpr double betweenZonesMs = 1.4;
-constexpr double openingMs = 12;
-constexpr double fullPauseMs = 30; ///< Mean delay after a member refused a connection because it was full.
+constexpr double connectMs = 12;
+constexpr double meanRetryDelayMs = 30; ///< Mean delay after a member refused a connection because it was full.
 constexpr double budgetMs = 1500;
 
 /** Policy for keeping connections. */
-enum class Way {
+enum class OwnershipPolicy {
     EachVm, ///< Each VM opens connections for itself, as figward does.
     GroupAndZone, ///< One owner for each group and zone.
     OrganisationAndZone, ///< One owner for each organisation, group and zone.
     Organisation, ///< One owner for each organisation and group, in any zone.
 };
-constexpr std::array ways{Way::EachVm, Way::GroupAndZone, Way::OrganisationAndZone, Way::Organisation};
+constexpr std::array policies{OwnershipPolicy::EachVm, OwnershipPolicy::GroupAndZone, OwnershipPolicy::OrganisationAndZone, OwnershipPolicy::Organisation};
 
-const char *nameOf(Way way)
+const char *nameOf(OwnershipPolicy policy)
 {
     constexpr std::array names{"each VM", "owner by group and zone", "owner by organisation, group, zone", "owner by organisation, group"};
-    return names[static_cast<std::size_t>(way)];
+    return names[static_cast<std::size_t>(policy)];
 }
 
 struct Deployment
@@ -53,18 +53,18 @@
     unsigned slots_ = 3;
     unsigned connections_ = 42;
     double load_ = 1; ///< Multiple of the load whose work alone takes 29% of all slots.
-    double resting_ = 0.25; ///< Fraction of a member's connections that are idle on average.
+    double idleFraction_ = 0.25; ///< Fraction of a member's connections that are idle on average.
 };
 
 struct Kind
 {
-    double part_;
+    double fraction_;
     double workMs_;
     double primary_; ///< Fraction that only the primary may run.
-    double aimMs_;
+    double targetMs_;
 };
 constexpr std::array kinds{Kind{0.135, 6, 1, 150}, Kind{0.234, 30, 0, 500}, Kind{0.631, 18, 0.2, 250}};
-constexpr double usualWork = 0.29;
+constexpr double baseWorkFraction = 0.29;
 
 struct Statement
 {
@@ -78,7 +78,7 @@
 struct Counts
 {
     std::array<unsigned, kinds.size()> asked_{};
-    std::array<unsigned, kinds.size()> inAim_{};
+    std::array<unsigned, kinds.size()> withinTarget_{};
     std::uint64_t openings_ = 0;
     std::uint64_t refusals_ = 0; ///< Connections refused by full members.
     std::uint64_t waited_ = 0; ///< Statements that found no idle connection.
@@ -100,9 +100,9 @@
 class Model
 {
 public:
-    Model(const Deployment &deployment, Way way, std::uint64_t seed)
+    Model(const Deployment &deployment, OwnershipPolicy policy, std::uint64_t seed)
         : deployment_(deployment)
-        , way_(way)
+        , policy_(policy)
         , random_(seed)
         , members_(std::size_t{deployment.groups_} * zones)
     {
@@ -120,9 +120,9 @@
     {
         double meanWork = 0;
         for (const Kind &kind : kinds) {
-            meanWork += kind.part_ * kind.workMs_;
+            meanWork += kind.fraction_ * kind.workMs_;
         }
-        perMs_ = deployment_.load_ * usualWork * static_cast<double>(members_.size()) * deployment_.slots_ / meanWork;
+        perMs_ = deployment_.load_ * baseWorkFraction * static_cast<double>(members_.size()) * deployment_.slots_ / meanWork;
         end_ = ms;
         arrive(0);
         while (!events_.empty()) {
@@ -171,7 +171,7 @@
     {
         Statement statement;
         const double part = uniform();
-        statement.kind_ = part < kinds[0].part_ ? 0 : part < kinds[0].part_ + kinds[1].part_ ? 1 : 2;
+        statement.kind_ = part < kinds[0].fraction_ ? 0 : part < kinds[0].fraction_ + kinds[1].fraction_ ? 1 : 2;
         statement.organisation_ = organisations_(random_);
         statement.vm_ = static_cast<unsigned>(random_() % deployment_.vms_);
         statement.arrived_ = now_;
@@ -204,14 +204,14 @@
     {
         const unsigned zone = statement.vm_ % zones;
         const std::uint64_t pair = std::uint64_t{statement.organisation_} * deployment_.groups_ + group + 1;
-        switch (way_) {
-        case Way::EachVm:
+        switch (policy_) {
+        case OwnershipPolicy::EachVm:
             return statement.vm_;
-        case Way::GroupAndZone:
+        case OwnershipPolicy::GroupAndZone:
             return vmOf(group + 1, zone, false);
-        case Way::OrganisationAndZone:
+        case OwnershipPolicy::OrganisationAndZone:
             return vmOf(pair, zone, false);
-        case Way::Organisation:
+        case OwnershipPolicy::Organisation:
             return vmOf(pair, zone, true);
         }
         return statement.vm_;
@@ -229,14 +229,14 @@
     }
 
     /** Idle time before a connection is closed, such that the wanted fraction is idle on average if all holders are equally frequent. */
-    double restMs() const
+    double idleTimeMs() const
     {
-        const double holders = way_ == Way::EachVm         ? deployment_.vms_
-                               : way_ == Way::Organisation ? deployment_.organisations_
-                                                           : zones * deployment_.organisations_;
+        const double holders = policy_ == OwnershipPolicy::EachVm         ? deployment_.vms_
+                               : policy_ == OwnershipPolicy::Organisation ? deployment_.organisations_
+                                                                          : zones * deployment_.organisations_;
         const double perHolder = perMs_ / static_cast<double>(members_.size()) / holders;
-        const double reuse = std::min(0.95, deployment_.resting_ * deployment_.connections_ / holders);
-        const double longest = way_ == Way::EachVm ? 1000 : 10000;
+        const double reuse = std::min(0.95, deployment_.idleFraction_ * deployment_.connections_ / holders);
+        const double longest = policy_ == OwnershipPolicy::EachVm ? 1000 : 10000;
         return std::min(longest, -std::log(1 - reuse) / perHolder);
     }
 
@@ -256,7 +256,7 @@
         while (!idle.empty()) {
             const std::uint64_t connection = idle.back();
             idle.pop_back();
-            if (resting_.erase(connection) > 0) {
+            if (idleConnections_.erase(connection) > 0) {
                 work(statement, pool, connection);
                 return;
             }
@@ -273,12 +273,12 @@
         Member &member = members_[statement.member_];
         if (member.connections_ >= deployment_.connections_) {
             ++counts_.refusals_;
-            schedule(now_ + std::exponential_distribution<double>(1 / fullPauseMs)(random_), [this, statement, pool] { open(statement, pool); });
+            schedule(now_ + std::exponential_distribution<double>(1 / meanRetryDelayMs)(random_), [this, statement, pool] { open(statement, pool); });
             return;
         }
         ++member.connections_;
         ++counts_.openings_;
-        schedule(slotDone(member, openingMs), [this, statement, pool] { work(statement, pool, nextConnection_++); });
+        schedule(slotDone(member, connectMs), [this, statement, pool] { work(statement, pool, nextConnection_++); });
     }
 
     void work(const Statement &statement, const Pool &pool, std::uint64_t connection)
@@ -287,10 +287,10 @@
         const double done = slotDone(members_[statement.member_], std::exponential_distribution<double>(1 / kind.workMs_)(random_));
         schedule(done, [this, statement, pool, connection] {
             const double back = hopMs(std::get<0>(pool), statement.vm_);
-            counts_.inAim_[statement.kind_] += now_ + back - statement.arrived_ <= kinds[statement.kind_].aimMs_ ? 1 : 0;
+            counts_.withinTarget_[statement.kind_] += now_ + back - statement.arrived_ <= kinds[statement.kind_].targetMs_ ? 1 : 0;
             idle_[pool].push_back(connection);
-            resting_[connection] = true;
-            schedule(now_ + restMs(), [this, statement, connection, since = now_] { endRest(statement.member_, connection, since); });
+            idleConnections_[connection] = true;
+            schedule(now_ + idleTimeMs(), [this, statement, connection, since = now_] { endRest(statement.member_, connection, since); });
             restSince_[connection] = now_;
         });
     }
@@ -299,14 +299,14 @@
     {
         const auto at = restSince_.find(connection);
         const bool rested = at != restSince_.end() && at->second == since;
-        if (rested && resting_.erase(connection) > 0) {
+        if (rested && idleConnections_.erase(connection) > 0) {
             restSince_.erase(at);
             --members_[member].connections_;
         }
     }
 
     Deployment deployment_;
-    Way way_;
+    OwnershipPolicy policy_;
     std::mt19937_64 random_;
     std::vector<Member> members_;
     std::discrete_distribution<unsigned> organisations_;
@@ -317,14 +317,14 @@
     std::uint64_t nextConnection_ = 1;
     std::priority_queue<Event> events_;
     std::map<Pool, std::deque<std::uint64_t>> idle_;
-    std::map<std::uint64_t, bool> resting_;
+    std::map<std::uint64_t, bool> idleConnections_;
     std::map<std::uint64_t, double> restSince_;
     Counts counts_;
 };
 
-void print(const Deployment &deployment, Way way, double seconds)
+void print(const Deployment &deployment, OwnershipPolicy policy, double seconds)
 {
-    const Counts counts = Model(deployment, way, 1).run(seconds * 1000);
+    const Counts counts = Model(deployment, policy, 1).run(seconds * 1000);
     unsigned asked = 0;
     for (const unsigned kind : counts.asked_) {
         asked += kind;
@@ -333,20 +333,20 @@
     for (const auto &[vm, statements] : counts.owned_) {
         busiest = std::max(busiest, statements);
     }
-    const auto share = [&](std::size_t kind) { return counts.asked_[kind] == 0 ? 1.0 : static_cast<double>(counts.inAim_[kind]) / counts.asked_[kind]; };
+    const auto share = [&](std::size_t kind) { return counts.asked_[kind] == 0 ? 1.0 : static_cast<double>(counts.withinTarget_[kind]) / counts.asked_[kind]; };
     std::printf("| %u | %u | %u | %.1f | %.2f | %s | %.3f | %.3f | %.3f | %.2f | %.2f | %.2f | %.2f | %.2f | %.1f |\n",
                 deployment.vms_,
                 deployment.groups_,
                 deployment.organisations_,
                 deployment.load_,
-                deployment.resting_,
-                nameOf(way),
+                deployment.idleFraction_,
+                nameOf(policy),
                 share(0),
                 share(1),
                 share(2),
                 static_cast<double>(counts.openings_) / asked,
                 static_cast<double>(counts.refusals_) / asked,
-                static_cast<double>(counts.openings_) * openingMs / counts.workMs_,
+                static_cast<double>(counts.openings_) * connectMs / counts.workMs_,
                 static_cast<double>(counts.hops_) / asked,
                 static_cast<double>(counts.hopsBetweenZones_) / asked,
                 static_cast<double>(busiest) * deployment.vms_ / asked);
@@ -365,12 +365,12 @@
     for (const auto &[vms, groups] : {std::pair(8U, 3U), {24U, 3U}, {66U, 8U}, {100U, 12U}, {295U, 20U}, {295U, 36U}}) {
         for (const unsigned organisations : {1U, 75U}) {
             for (const double load : {0.5, 1.0, 1.7}) {
-                for (const Way way : ways) {
+                for (const OwnershipPolicy policy : policies) {
                     for (const double resting : {0.02, 0.25, 0.6}) {
                         Deployment deployment{vms, groups, organisations};
                         deployment.load_ = load;
-                        deployment.resting_ = resting;
-                        print(deployment, way, seconds);
+                        deployment.idleFraction_ = resting;
+                        print(deployment, policy, seconds);
                     }
                 }
             }
--- a/test/performance/ReplicaReads.cpp
+++ b/test/performance/ReplicaReads.cpp
@@ -24,18 +24,18 @@
 constexpr std::size_t sessions = 16;
 
 /** Consistency that a read requires. */
-struct Need
+struct ReadRequirement
 {
     const char *name_;
     bool token_ = false;
     std::optional<Duration> maxStaleness_;
 };
 
-const std::array needs{Need{"primary always", false, std::nullopt},
-                       Need{"token", true, std::nullopt},
-                       Need{"staleness 0.1 s", false, 100 * millisecond},
-                       Need{"staleness 1 s", false, second},
-                       Need{"staleness 10 s", false, 10 * second}};
+const std::array readRequirements{ReadRequirement{"primary always", false, std::nullopt},
+                                  ReadRequirement{"token", true, std::nullopt},
+                                  ReadRequirement{"staleness 0.1 s", false, 100 * millisecond},
+                                  ReadRequirement{"staleness 1 s", false, second},
+                                  ReadRequirement{"staleness 10 s", false, 10 * second}};
 constexpr std::array lags{5 * millisecond, 50 * millisecond, 500 * millisecond, 5 * second};
 
 /** Figures of one row. */
@@ -48,14 +48,14 @@
     std::vector<Duration> latencies_;
 };
 
-/** Sessions that write at one proxy and read with a required consistency at others. */
+/** Sessions that write and read through random proxies; each read has the given consistency requirement. */
 class Reads
 {
 public:
-    Reads(std::uint64_t seed, Duration lag, Need need)
+    Reads(std::uint64_t seed, Duration lag, ReadRequirement requirement)
         : world_(configFor(seed, lag))
         , random_(seed)
-        , need_(need)
+        , requirement_(requirement)
         , tokens_(sessions)
     {
         world_.run(3 * second);
@@ -114,8 +114,8 @@
     void read(std::size_t session, ProxyIndex proxy)
     {
         Request read = request(RequestKind::Read, "get n");
-        read.token_ = need_.token_ ? tokens_[session] : SessionToken{};
-        read.maxStaleness_ = need_.maxStaleness_;
+        read.token_ = requirement_.token_ ? tokens_[session] : SessionToken{};
+        read.maxStaleness_ = requirement_.maxStaleness_;
         ++row_.reads_;
         row_.ruleReplica_ += ruleAllowsReplica(tokens_[session]) ? 1 : 0;
         const Time asked = world_.now();
@@ -147,7 +147,7 @@
 
     World world_;
     std::mt19937_64 random_;
-    Need need_;
+    ReadRequirement requirement_;
     std::vector<SessionToken> tokens_;
     std::uint64_t sequence_ = 0;
     Row row_;
@@ -170,15 +170,15 @@
     const std::uint64_t seed = argc > 1 ? std::strtoull(argv[1], nullptr, 10) : 1;
     std::printf("| lag | reads ask | reads | done | by replicas | rule without waiting or ages | median ms | p99 ms |\n|---|---|---|---|---|---|---|---|\n");
     for (const Duration lag : lags) {
-        for (const Need &need : needs) {
-            Row row = Reads(seed, lag, need).row();
+        for (const ReadRequirement &requirement : readRequirements) {
+            Row row = Reads(seed, lag, requirement).row();
             const double replicas = 100.0 * static_cast<double>(row.replica_) / static_cast<double>(std::max<std::uint64_t>(1, row.done_));
             const double rule = 100.0 * static_cast<double>(row.ruleReplica_) / static_cast<double>(row.reads_);
             const double median = percentile(row.latencies_, 0.5);
             const double p99 = percentile(row.latencies_, 0.99);
             std::printf("| %lld ms | %s | %llu | %llu | %.1f %% | %.1f %% | %.2f | %.2f |\n",
                         static_cast<long long>(toMillis(lag)),
-                        need.name_,
+                        requirement.name_,
                         static_cast<unsigned long long>(row.reads_),
                         static_cast<unsigned long long>(row.done_),
                         replicas,
--- a/test/performance/SessionGap.cpp
+++ b/test/performance/SessionGap.cpp
@@ -19,11 +19,11 @@
 constexpr unsigned vms = 8;
 constexpr unsigned members = 3;
 constexpr Duration startTime = std::chrono::seconds(4);
-constexpr Duration watched = std::chrono::seconds(12);
+constexpr Duration observedTime = std::chrono::seconds(12);
 
 enum class Fault {
     Crash, ///< The primary's process ends.
-    Dark, ///< The primary answers nobody, and sends nothing to its replicas.
+    Unresponsive, ///< The primary answers nobody, and sends nothing to its replicas.
     Cut, ///< All VMs but one, and all replicas, lose their connections to the primary.
     Release, ///< The primary announces that it gives up its role, and continues to work.
 };
@@ -112,7 +112,7 @@
     world.storeDown(store == StoreState::Down);
     play(std::chrono::milliseconds(300), last, longest);
     inject(world, fault);
-    play(watched, last, longest);
+    play(observedTime, last, longest);
     return longest;
 }
 
@@ -122,7 +122,7 @@
     unsigned stuck = 0;
     for (unsigned seed = 1; seed <= seeds; ++seed) {
         const Duration gap = measure(seed, fault, store);
-        stuck += gap > watched - std::chrono::seconds(1) ? 1 : 0;
+        stuck += gap > observedTime - std::chrono::seconds(1) ? 1 : 0;
         gaps.push_back(gap);
     }
     std::ranges::sort(gaps);
@@ -148,7 +148,7 @@
     }
     std::printf("%-8s %-6s %7s %7s %7s %7s\n", "fault", "store", "median", "p99", "longest", "not back");
     for (const StoreState store : {StoreState::Up, StoreState::Down}) {
-        for (const Fault fault : {Fault::Crash, Fault::Dark, Fault::Cut, Fault::Release}) {
+        for (const Fault fault : {Fault::Crash, Fault::Unresponsive, Fault::Cut, Fault::Release}) {
             printRow(fault, store, seeds);
         }
     }
