--- a/test/fuzz/LineSessionsUnderFaults.cpp
+++ b/test/fuzz/LineSessionsUnderFaults.cpp
@@ -25,7 +25,8 @@
 
 } // namespace
 
-// Clients send random statements while members crash and lag, VMs die, freeze and are cut off, and the store is unavailable or loses answers, several at a time.
+// Clients send random statements while members crash and lag, VMs die, freeze and are cut off, and the store is unavailable or loses
+// answers, several at a time.
 // In all cases, no read lacks a write that it must include, no write is acknowledged by a replaced primary, and no refused statement has run.
 TEST(LineSessionsUnderFaults, keepTheirPromises)
 {
--- a/test/fuzz/LineTrial.h
+++ b/test/fuzz/LineTrial.h
@@ -14,7 +14,10 @@
     bool resets_ = false; ///< Connections to members are also reset, about twice a second.
 };
 
-/** Runs a trial of 20 s of virtual time from \p seed and returns the violated guarantees. If FIGWARD_FUZZ_STORY is set in the environment, prints the events. */
+/**
+ * Runs a trial of 20 s of virtual time from \p seed and returns the violated guarantees.
+ * If FIGWARD_FUZZ_STORY is set in the environment, prints the events.
+ */
 std::vector<std::string> playLineTrial(std::uint64_t seed, const LineTrialOptions &options = {});
 
 } // namespace Figward::Testing
--- a/test/fuzz/OracleFindsMissingSafeguards.cpp
+++ b/test/fuzz/OracleFindsMissingSafeguards.cpp
@@ -166,11 +166,11 @@
 TEST(OracleFinds, anAnswerTakenForAnotherRequests)
 {
     expectFinding([](World &) {
-        const auto former = std::make_shared<std::string>();
+        const auto previousBody = std::make_shared<std::string>();
         WorldHooks hooks;
-        hooks.beforeEvent_ = [former](ProxyIndex, ProxyState &, EventBody &body) {
+        hooks.beforeEvent_ = [previousBody](ProxyIndex, ProxyState &, EventBody &body) {
             if (auto *answered = std::get_if<UpstreamAnswered>(&body)) {
-                std::swap(*former, answered->answer_.body_);
+                std::swap(*previousBody, answered->answer_.body_);
             }
         };
         return hooks;
--- a/test/fuzz/Trial.cpp
+++ b/test/fuzz/Trial.cpp
@@ -22,7 +22,7 @@
 constexpr std::array timeoutChoices{second / 5, second, 3 * second};
 constexpr std::array maxStalenessChoices{second / 10, second, 10 * second};
 constexpr std::size_t tracedLines = 3000;
-constexpr unsigned often = 30;
+constexpr unsigned faultPercent = 30;
 constexpr int maxWriteAttempts = 5;
 
 std::string keyName(std::size_t choice)
@@ -396,10 +396,10 @@
         world_.platform().setFaults({.down_ = true, .silent_ = action.choice_ % 2 == 0});
         world_.schedule(ends, [this] { world_.platform().setFaults({}); });
     } else if (action.kind_ == ActionKind::PlatformLossy) {
-        world_.platform().setFaults({.additionalLatency_ = second / 5, .lossPercent_ = often});
+        world_.platform().setFaults({.additionalLatency_ = second / 5, .lossPercent_ = faultPercent});
         world_.schedule(ends, [this] { world_.platform().setFaults({}); });
     } else {
-        world_.setPeerFaults({.dropPercent_ = often / 3, .doublePercent_ = often, .delayPercent_ = often});
+        world_.setPeerFaults({.dropPercent_ = faultPercent / 3, .doublePercent_ = faultPercent, .delayPercent_ = faultPercent});
         world_.schedule(ends, [this] { world_.setPeerFaults({}); });
     }
 }
--- a/test/performance/FailoverGap.cpp
+++ b/test/performance/FailoverGap.cpp
@@ -126,7 +126,7 @@
     }
 }
 
-void inflict(Trial &trial, Fault fault)
+void injectFault(Trial &trial, Fault fault)
 {
     World &world = trial.world_;
     const Standin::MemberIndex primary = world.primaryOf(0);
@@ -159,13 +159,13 @@
     }
     setPlatform(trial, platform);
     trial.world_.run(second + trial.upTo(2 * second));
-    const Term former = trial.highest_;
-    inflict(trial, fault);
+    const Term previousTerm = trial.highest_;
+    injectFault(trial, fault);
     const Time lostAt = trial.world_.now();
-    while (trial.highest_ <= former && trial.world_.now() - lostAt < gapLimit) {
+    while (trial.highest_ <= previousTerm && trial.world_.now() - lostAt < gapLimit) {
         trial.world_.run(10 * millisecond);
     }
-    return trial.highest_ > former ? trial.highestAt_ - lostAt : gapLimit;
+    return trial.highest_ > previousTerm ? trial.highestAt_ - lostAt : gapLimit;
 }
 
 void printGaps(const UserSize &size, Fault fault, PlatformState platform, std::uint64_t firstSeed, std::uint64_t seeds)
@@ -193,7 +193,10 @@
     std::fflush(stdout);
 }
 
-/** Returns the number of promotions in ten minutes without a lost primary, but with pauses of members and proxies below the suspicion time and delays between proxies. */
+/**
+ * Returns the number of promotions in ten minutes without a lost primary, but with pauses of members and proxies below the suspicion time and delays between
+ * proxies.
+ */
 std::uint64_t falsePromotions(const UserSize &size, std::uint64_t seed)
 {
     Trial trial(worldOf(size, seed));
--- a/test/performance/FleetMeasureConfiguration.cpp
+++ b/test/performance/FleetMeasureConfiguration.cpp
@@ -12,13 +12,13 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-struct Way
+struct DistributionMethod
 {
     const char *name_;
     FleetTuning tuning_;
 };
 
-std::vector<Way> ways()
+std::vector<DistributionMethod> distributionMethods()
 {
     FleetTuning watch;
     watch.watchersPerZone_ = 10'000;
@@ -66,7 +66,7 @@
     return bytes / static_cast<double>(fleet.vms().size());
 }
 
-void row(const char *fleetName, const char *way, unsigned loss, Fleet &fleet, unsigned services, unsigned changes, Duration pause)
+void row(const char *fleetName, const char *method, unsigned loss, Fleet &fleet, unsigned services, unsigned changes, Duration pause)
 {
     fleet.run(seconds(30));
     const double before = bytesPerVm(fleet);
@@ -74,7 +74,7 @@
     const double bytes = (bytesPerVm(fleet) - before) / changes;
     const double median = spread.millis_.empty() ? 0 : spread.millis_[spread.millis_.size() / 2];
     const double max = spread.millis_.empty() ? 0 : spread.millis_.back();
-    std::printf("| %s | %s | %u | %.1f | %.1f | %zu | %.0f |\n", fleetName, way, loss, median, max, spread.missing_, bytes);
+    std::printf("| %s | %s | %u | %.1f | %.1f | %zu | %.0f |\n", fleetName, method, loss, median, max, spread.missing_, bytes);
     std::fflush(stdout);
 }
 
@@ -83,20 +83,20 @@
 void measureConfiguration()
 {
     std::puts("| fleet | way | loss % | median ms | max ms | VMs without it after the pause | bytes a VM and change, all control |");
-    for (const Way &way : ways()) {
-        Fleet fleet({.vms_ = 8, .seed_ = 5, .tuning_ = way.tuning_});
+    for (const DistributionMethod &method : distributionMethods()) {
+        Fleet fleet({.vms_ = 8, .seed_ = 5, .tuning_ = method.tuning_});
         fleet.setMeasuring(true);
         fleet.setPlatformCut(2, true);
         fleet.apply(configurationText(3, 1));
-        row("8 VMs, 1 zone of 3 cut from the platform", way.name_, 0, fleet, 3, 100, seconds(10));
+        row("8 VMs, 1 zone of 3 cut from the platform", method.name_, 0, fleet, 3, 100, seconds(10));
     }
     constexpr unsigned lost = 20;
-    for (const Way &way : ways()) {
+    for (const DistributionMethod &method : distributionMethods()) {
         for (const unsigned loss : {0U, lost}) {
-            Fleet fleet({.vms_ = 530, .zones_ = 9, .seed_ = 5, .lossPercent_ = loss, .tuning_ = way.tuning_});
+            Fleet fleet({.vms_ = 530, .zones_ = 9, .seed_ = 5, .lossPercent_ = loss, .tuning_ = method.tuning_});
             fleet.setMeasuring(true);
             fleet.apply(configurationText(20, 1));
-            row("530 VMs in 9 zones, 20 services", way.name_, loss, fleet, 20, 4, seconds(10));
+            row("530 VMs in 9 zones, 20 services", method.name_, loss, fleet, 20, 4, seconds(10));
         }
     }
     Fleet fleet({.vms_ = 530, .zones_ = 9, .seed_ = 6});
--- a/test/performance/OwnersTrial.cpp
+++ b/test/performance/OwnersTrial.cpp
@@ -2,8 +2,8 @@
  * Compares, in a model in virtual time, policies for keeping connections to members when each connection belongs to one organisation: every VM opens its own,
  * or the other VMs send their statements to owners.
  *
- * The model has members with slots and a limit of connections, openings that take a slot, statements of three kinds, and organisations of unequal size. It has no
- * faults, leases or positions: it shows only how often a connection is reused, what opening connections costs, and how long statements wait.
+ * The model has members with slots and a limit of connections, connection openings that take a slot, statements of three kinds, and organisations of unequal
+ * size. It has no faults, leases or positions: it shows only how often a connection is reused, what opening connections costs, and how long statements wait.
  *
  * Usage: figward_owners_trial [SECONDS]. Prints one line for each deployment, load and policy.
  */
@@ -28,7 +28,7 @@
 constexpr double betweenZonesMs = 1.4;
 constexpr double connectMs = 12;
 constexpr double meanRetryDelayMs = 30; ///< Mean delay after a member refused a connection because it was full.
-constexpr double budgetMs = 1500;
+constexpr double timeoutMs = 1500;
 
 /** Policy for keeping connections. */
 enum class OwnershipPolicy {
@@ -79,7 +79,7 @@
 {
     std::array<unsigned, kinds.size()> asked_{};
     std::array<unsigned, kinds.size()> withinTarget_{};
-    std::uint64_t openings_ = 0;
+    std::uint64_t openedConnections_ = 0;
     std::uint64_t refusals_ = 0; ///< Connections refused by full members.
     std::uint64_t waited_ = 0; ///< Statements that found no idle connection.
     double workMs_ = 0; ///< Work time of slots.
@@ -122,7 +122,7 @@
         for (const Kind &kind : kinds) {
             meanWork += kind.fraction_ * kind.workMs_;
         }
-        perMs_ = deployment_.load_ * baseWorkFraction * static_cast<double>(members_.size()) * deployment_.slots_ / meanWork;
+        arrivalsPerMs_ = deployment_.load_ * baseWorkFraction * static_cast<double>(members_.size()) * deployment_.slots_ / meanWork;
         end_ = ms;
         arrive(0);
         while (!events_.empty()) {
@@ -158,7 +158,7 @@
 
     void arrive(double after)
     {
-        const double at = after + std::exponential_distribution<double>(perMs_)(random_);
+        const double at = after + std::exponential_distribution<double>(arrivalsPerMs_)(random_);
         if (at < end_) {
             schedule(at, [this, at] {
                 begin();
@@ -234,7 +234,7 @@
         const double holders = policy_ == OwnershipPolicy::EachVm         ? deployment_.vms_
                                : policy_ == OwnershipPolicy::Organisation ? deployment_.organisations_
                                                                           : zones * deployment_.organisations_;
-        const double perHolder = perMs_ / static_cast<double>(members_.size()) / holders;
+        const double perHolder = arrivalsPerMs_ / static_cast<double>(members_.size()) / holders;
         const double reuse = std::min(0.95, deployment_.idleFraction_ * deployment_.connections_ / holders);
         const double longest = policy_ == OwnershipPolicy::EachVm ? 1000 : 10000;
         return std::min(longest, -std::log(1 - reuse) / perHolder);
@@ -267,7 +267,7 @@
 
     void open(const Statement &statement, const Pool &pool)
     {
-        if (now_ - statement.arrived_ > budgetMs) {
+        if (now_ - statement.arrived_ > timeoutMs) {
             return;
         }
         Member &member = members_[statement.member_];
@@ -277,7 +277,7 @@
             return;
         }
         ++member.connections_;
-        ++counts_.openings_;
+        ++counts_.openedConnections_;
         schedule(slotDone(member, connectMs), [this, statement, pool] { work(statement, pool, nextConnection_++); });
     }
 
@@ -290,17 +290,17 @@
             counts_.withinTarget_[statement.kind_] += now_ + back - statement.arrived_ <= kinds[statement.kind_].targetMs_ ? 1 : 0;
             idle_[pool].push_back(connection);
             idleConnections_[connection] = true;
-            schedule(now_ + idleTimeMs(), [this, statement, connection, since = now_] { endRest(statement.member_, connection, since); });
-            restSince_[connection] = now_;
+            schedule(now_ + idleTimeMs(), [this, statement, connection, since = now_] { closeIfIdleSince(statement.member_, connection, since); });
+            idleSince_[connection] = now_;
         });
     }
 
-    void endRest(unsigned member, std::uint64_t connection, double since)
+    void closeIfIdleSince(unsigned member, std::uint64_t connection, double since)
     {
-        const auto at = restSince_.find(connection);
-        const bool rested = at != restSince_.end() && at->second == since;
-        if (rested && idleConnections_.erase(connection) > 0) {
-            restSince_.erase(at);
+        const auto at = idleSince_.find(connection);
+        const bool isStillIdle = at != idleSince_.end() && at->second == since;
+        if (isStillIdle && idleConnections_.erase(connection) > 0) {
+            idleSince_.erase(at);
             --members_[member].connections_;
         }
     }
@@ -310,7 +310,7 @@
     std::mt19937_64 random_;
     std::vector<Member> members_;
     std::discrete_distribution<unsigned> organisations_;
-    double perMs_ = 0;
+    double arrivalsPerMs_ = 0;
     double end_ = 0;
     double now_ = 0;
     std::uint64_t order_ = 0;
@@ -318,7 +318,7 @@
     std::priority_queue<Event> events_;
     std::map<Pool, std::deque<std::uint64_t>> idle_;
     std::map<std::uint64_t, bool> idleConnections_;
-    std::map<std::uint64_t, double> restSince_;
+    std::map<std::uint64_t, double> idleSince_;
     Counts counts_;
 };
 
@@ -344,9 +344,9 @@
                 share(0),
                 share(1),
                 share(2),
-                static_cast<double>(counts.openings_) / asked,
+                static_cast<double>(counts.openedConnections_) / asked,
                 static_cast<double>(counts.refusals_) / asked,
-                static_cast<double>(counts.openings_) * connectMs / counts.workMs_,
+                static_cast<double>(counts.openedConnections_) * connectMs / counts.workMs_,
                 static_cast<double>(counts.hops_) / asked,
                 static_cast<double>(counts.hopsBetweenZones_) / asked,
                 static_cast<double>(busiest) * deployment.vms_ / asked);
@@ -366,10 +366,10 @@
         for (const unsigned organisations : {1U, 75U}) {
             for (const double load : {0.5, 1.0, 1.7}) {
                 for (const OwnershipPolicy policy : policies) {
-                    for (const double resting : {0.02, 0.25, 0.6}) {
+                    for (const double idleFraction : {0.02, 0.25, 0.6}) {
                         Deployment deployment{vms, groups, organisations};
                         deployment.load_ = load;
-                        deployment.idleFraction_ = resting;
+                        deployment.idleFraction_ = idleFraction;
                         print(deployment, policy, seconds);
                     }
                 }
--- a/test/performance/ReplicaReads.cpp
+++ b/test/performance/ReplicaReads.cpp
@@ -1,5 +1,6 @@
 /** \file
- * Measures, in virtual time, the share of reads that replicas serve and the resulting latency, by replication lag and by the consistency that the read requires.
+ * Measures, in virtual time, the share of reads that replicas serve and the resulting latency, by replication lag and by
+ * the consistency that the read requires.
  *
  * For comparison, in the same run: the same reads always sent to the primary, and the share that a rule without waiting or ages would have
  * sent to a replica (the token is in some replica's last known position). Usage: ReplicaReads [SEED].
--- a/test/performance/SessionGap.cpp
+++ b/test/performance/SessionGap.cpp
@@ -1,8 +1,9 @@
 /** \file
  * Measures, in virtual time, how long writes of database sessions stall when the primary is lost or replaced.
  *
- * The gap is the longest time in which no write is acknowledged to any client, from shortly before the fault to 12 s after it. Printed by fault and state of the
- * platform's store: median, p99 and longest of all seeds in milliseconds, and in how many seeds writes did not resume. Usage: figward_session_gap [SEEDS].
+ * The gap is the longest time in which no write is acknowledged to any client, from shortly before the fault to 12 s after it.
+ * Printed by fault and state of the platform's store: median, p99 and longest of all seeds in milliseconds, and in how many seeds writes did not resume.
+ * Usage: figward_session_gap [SEEDS].
  */
 #include "support/SessionWorld.h"
 
