--- a/test/fuzz/ConfigurationTextMutations.cpp
+++ b/test/fuzz/ConfigurationTextMutations.cpp
@@ -67,7 +67,7 @@
     }
 }
 
-void expectPlaced(const TextProblem &problem, const std::vector<std::size_t> &lineLengths)
+void expectPositionWithinText(const TextProblem &problem, const std::vector<std::size_t> &lineLengths)
 {
     ASSERT_GE(problem.line_, 1U);
     ASSERT_LE(problem.line_, lineLengths.size());
@@ -115,7 +115,7 @@
     EXPECT_EQ(checked.configuration_.has_value(), checked.problems_.empty());
     const std::vector<std::size_t> lengths = lineLengths(text);
     for (const TextProblem &problem : checked.problems_) {
-        expectPlaced(problem, lengths);
+        expectPositionWithinText(problem, lengths);
     }
     if (checked.configuration_) {
         expectSameAfterJoin(text, *checked.configuration_);
--- a/test/fuzz/SessionsUnderFaults.cpp
+++ b/test/fuzz/SessionsUnderFaults.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/** The number in environment variable \p name, or \p otherwise. */
+/** Returns the number in environment variable \p name, or \p otherwise if it is not set. */
 std::uint64_t fromEnvironment(const char *name, std::uint64_t otherwise)
 {
     const char *text = std::getenv(name);
--- a/test/performance/FleetMeasureConfiguration.cpp
+++ b/test/performance/FleetMeasureConfiguration.cpp
@@ -38,7 +38,7 @@
 };
 
 /** Applies \p changes configurations at intervals of \p pause, and records when each VM has each of them. */
-Spread spreadOf(Fleet &fleet, unsigned services, unsigned changes, Duration pause)
+Spread measureSpread(Fleet &fleet, unsigned services, unsigned changes, Duration pause)
 {
     Spread spread;
     for (unsigned change = 0; change < changes; ++change) {
@@ -70,7 +70,7 @@
 {
     fleet.run(seconds(30));
     const double before = bytesPerVm(fleet);
-    const Spread spread = spreadOf(fleet, services, changes, pause);
+    const Spread spread = measureSpread(fleet, services, changes, pause);
     const double bytes = (bytesPerVm(fleet) - before) / changes;
     const double median = spread.millis_.empty() ? 0 : spread.millis_[spread.millis_.size() / 2];
     const double max = spread.millis_.empty() ? 0 : spread.millis_.back();
@@ -90,9 +90,9 @@
         fleet.apply(configurationText(3, 1));
         row("8 VMs, 1 zone of 3 cut from the platform", method.name_, 0, fleet, 3, 100, seconds(10));
     }
-    constexpr unsigned lost = 20;
+    constexpr unsigned lossPercent = 20;
     for (const DistributionMethod &method : distributionMethods()) {
-        for (const unsigned loss : {0U, lost}) {
+        for (const unsigned loss : {0U, lossPercent}) {
             Fleet fleet({.vms_ = 530, .zones_ = 9, .seed_ = 5, .lossPercent_ = loss, .tuning_ = method.tuning_});
             fleet.setMeasuring(true);
             fleet.apply(configurationText(20, 1));
--- a/test/performance/ProxyOverhead.cpp
+++ b/test/performance/ProxyOverhead.cpp
@@ -141,7 +141,7 @@
             sendNext();
         }
         std::unique_lock lock(mutex_);
-        ended_.wait(lock, [this] { return underWay_ == 0; });
+        ended_.wait(lock, [this] { return inFlight_ == 0; });
         return done_;
     }
 
@@ -154,14 +154,14 @@
                 return;
             }
             --left_;
-            ++underWay_;
+            ++inFlight_;
         }
         client_.execute(request_, [this](const ClientResult &result) {
             const bool done = result.ok() && result->outcome_ == Outcome::Done;
             sendNext();
             const std::scoped_lock lock(mutex_);
             done_ += done ? 1 : 0;
-            if (--underWay_ == 0) {
+            if (--inFlight_ == 0) {
                 ended_.notify_all();
             }
         });
@@ -172,7 +172,7 @@
     std::mutex mutex_;
     std::condition_variable ended_;
     int left_;
-    int underWay_ = 0;
+    int inFlight_ = 0;
     int done_ = 0;
 };
 
--- a/test/performance/ReducerThroughput.cpp
+++ b/test/performance/ReducerThroughput.cpp
@@ -77,8 +77,8 @@
         Effects out;
         activateConfiguration(state_, manyGroups(groups), now_, out);
         perform(out);
-        settle();
-        pass(std::chrono::milliseconds(300));
+        processPending();
+        advance(std::chrono::milliseconds(300));
     }
 
     /** Processes one request from its arrival to its answer. */
@@ -86,19 +86,19 @@
     {
         answered_ = false;
         feed(CallerAsked{RequestId(nextRequest_++), std::move(request)});
-        settle();
+        processPending();
         while (!answered_) {
-            pass(tick);
+            advance(tick);
         }
     }
 
-    void pass(Duration span)
+    void advance(Duration span)
     {
         now_ += span;
         while (wakeUp_ && *wakeUp_ <= now_) {
             wakeUp_.reset();
             feed(WakeUp{});
-            settle();
+            processPending();
         }
     }
 
@@ -113,7 +113,7 @@
         pending_.push_back(std::move(body));
     }
 
-    void settle()
+    void processPending()
     {
         while (!pending_.empty()) {
             const Event event{now_, std::move(pending_.front())};
