--- a/test/fuzz/ConfigurationTextMutations.cpp
+++ b/test/fuzz/ConfigurationTextMutations.cpp
@@ -1,5 +1,5 @@
-// Mutated examples are checked with fixed seeds. Whatever the text: the checker ends without a crash, gives a configuration exactly if
-// there is no problem, places every problem within the text, and a text that it accepts keeps its meaning through split and join.
+// Checks mutated examples with fixed seeds. For any text, the checker does not crash, returns a configuration if and only if it reports no problem, and
+// reports positions within the text. A text that it accepts keeps its meaning when it is split and joined.
 
 #include "ConfigurationText.h"
 #include "support/TestFiles.h"
@@ -21,7 +21,7 @@
     return bound == 0 ? 0 : random() % bound;
 }
 
-/** One change: a byte replaced, a piece cut, doubled or moved, or a token put in. */
+/** Applies one mutation: replaces a byte, removes, duplicates or moves a substring, or inserts a token. */
 void mutate(std::string &text, Random &random)
 {
     static const std::vector<std::string> tokens{"{",
@@ -67,7 +67,7 @@
     }
 }
 
-void expectPlaced(const TextProblem &problem, const std::vector<std::size_t> &lineLengths)
+void expectPositionWithinText(const TextProblem &problem, const std::vector<std::size_t> &lineLengths)
 {
     ASSERT_GE(problem.line_, 1U);
     ASSERT_LE(problem.line_, lineLengths.size());
@@ -115,7 +115,7 @@
     EXPECT_EQ(checked.configuration_.has_value(), checked.problems_.empty());
     const std::vector<std::size_t> lengths = lineLengths(text);
     for (const TextProblem &problem : checked.problems_) {
-        expectPlaced(problem, lengths);
+        expectPositionWithinText(problem, lengths);
     }
     if (checked.configuration_) {
         expectSameAfterJoin(text, *checked.configuration_);
--- a/test/fuzz/ConfigurationUnderFaults.cpp
+++ b/test/fuzz/ConfigurationUnderFaults.cpp
@@ -13,20 +13,23 @@
 namespace {
 
 constexpr Duration startTime = std::chrono::seconds(4);
-/** By then a confirmed configuration is in force at each VM that runs and is heard by others, where VMs are few and where they are many. */
+/** Maximum time until a confirmed configuration is active at each running VM that other VMs can hear, for few and for many VMs. */
 constexpr Duration applyBound = std::chrono::milliseconds(3000);
 constexpr Duration applyBoundOfMany = std::chrono::milliseconds(5000);
 constexpr Duration freezeTime = std::chrono::milliseconds(5500);
 constexpr Duration healTime = std::chrono::seconds(7);
 constexpr Duration hiddenTime = std::chrono::seconds(1);
 constexpr unsigned rounds = 3;
-constexpr unsigned mostFrozen = 2;
+constexpr unsigned maxFrozenVms = 2;
 
-/** One day: each round a change, beside a store that is silent to some VMs, watches and connections that hear nothing, and VMs that stand still as the word spreads. */
-class FaultyDay
+/**
+ * A run of several rounds. Each changes the configuration while the store is unresponsive to some VMs, watches and connections receive nothing, and VMs freeze
+ * during distribution.
+ */
+class FaultyRun
 {
 public:
-    explicit FaultyDay(std::uint64_t seed)
+    explicit FaultyRun(std::uint64_t seed)
         : random_(seed)
         , vms_(chooseSize())
         , world_(worldConfig(vms_, seed))
@@ -72,16 +75,16 @@
 
     void playRound()
     {
-        // One VM at least goes on and is answered by the store: nobody else could learn of the change.
-        const unsigned sound = static_cast<unsigned>(random_() % vms_);
-        disturbStore(sound);
+        // At least one VM keeps running and receives answers from the store; otherwise no VM could learn of the change.
+        const unsigned healthyVm = static_cast<unsigned>(random_() % vms_);
+        disturbStore(healthyVm);
         world_.run(randomBelow(std::chrono::seconds(3)));
         if (chance(50)) {
-            hideFromWatches();
+            silenceWatches();
         }
         world_.newConfiguration([](SessionConfiguration &) {});
         expected_ = ConfigVersion(expected_.value() + 2);
-        const std::set<unsigned> frozen = freezeSome(sound);
+        const std::set<unsigned> frozen = freezeSome(healthyVm);
         runAndCompare(vms_ > 12 ? applyBoundOfMany : applyBound);
         for (unsigned vm = 0; vm < vms_; ++vm) {
             if (!frozen.contains(vm) && versionAt(vm) < expected_) {
@@ -91,10 +94,10 @@
         heal();
     }
 
-    void disturbStore(unsigned sound)
+    void disturbStore(unsigned healthyVm)
     {
         for (unsigned vm = 0; vm < vms_; ++vm) {
-            world_.cutVmFromStore(vm, vm != sound && chance(50));
+            world_.cutVmFromStore(vm, vm != healthyVm && chance(50));
         }
         world_.watchesAreDeaf(chance(50));
         if (chance(30)) {
@@ -104,8 +107,8 @@
         }
     }
 
-    /** For a second around the change no watch hears anything, then the store forgets its history. */
-    void hideFromWatches()
+    /** For a second around the change no watch receives anything, then the store discards its history. */
+    void silenceWatches()
     {
         world_.watchesAreSilent(true);
         world_.run(randomBelow(hiddenTime));
@@ -115,12 +118,12 @@
         });
     }
 
-    std::set<unsigned> freezeSome(unsigned sound)
+    std::set<unsigned> freezeSome(unsigned healthyVm)
     {
         std::set<unsigned> frozen;
-        for (unsigned n = 0; n < mostFrozen; ++n) {
+        for (unsigned n = 0; n < maxFrozenVms; ++n) {
             const unsigned vm = static_cast<unsigned>(random_() % vms_);
-            if (vm != sound && frozen.insert(vm).second) {
+            if (vm != healthyVm && frozen.insert(vm).second) {
                 const Duration delay = chance(50) ? randomBelow(std::chrono::milliseconds(30)) : randomBelow(std::chrono::seconds(2));
                 world_.after(delay, [this, vm] { world_.freezeVm(vm, true); });
                 world_.after(delay + freezeTime, [this, vm] { world_.freezeVm(vm, false); });
@@ -143,7 +146,7 @@
         return world_.vm(vm).sessions_->configuration_->version_;
     }
 
-    /** Lets time pass; no VM goes back to a lower version. */
+    /** Advances the time and checks that no VM returns to a lower version. */
     void runAndCompare(Duration duration)
     {
         constexpr Duration step = std::chrono::milliseconds(100);
@@ -178,10 +181,11 @@
 
 } // namespace
 
-// Guards against any wait for a silent source, of a VM or of all, that keeps a confirmed configuration from being in force in time, and against going back.
+// Guards against waiting for an unresponsive source, by one VM or by all, which delays a confirmed configuration from becoming active, and against returning to
+// an earlier configuration.
 TEST_P(ConfigurationUnderFaults, isInForceInTimeAndNeverReverts)
 {
-    EXPECT_THAT(FaultyDay(GetParam()).play(), IsEmpty());
+    EXPECT_THAT(FaultyRun(GetParam()).play(), IsEmpty());
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, ConfigurationUnderFaults, Range<std::uint64_t>(1, 61), PrintToStringParamName());
@@ -191,6 +195,6 @@
     const std::uint64_t first = setting("FIGWARD_FUZZ_FIRST", 1000);
     const std::uint64_t count = setting("FIGWARD_FUZZ_SEEDS", 2000);
     for (std::uint64_t seed = first; seed < first + count; ++seed) {
-        EXPECT_THAT(FaultyDay(seed).play(), IsEmpty()) << "seed " << seed;
+        EXPECT_THAT(FaultyRun(seed).play(), IsEmpty()) << "seed " << seed;
     }
 }
--- a/test/fuzz/OracleFindsMissingSafeguards.cpp
+++ b/test/fuzz/OracleFindsMissingSafeguards.cpp
@@ -1,5 +1,5 @@
-// The oracle is checked here: each test takes one safeguard away, by altering a proxy's state or effects from outside, and the fuzz must find a
-// broken promise. A safeguard whose absence went unnoticed would be one that no other test of this kind protects.
+// Checks the oracle: each test disables one safeguard by altering a proxy's state or effects from outside, and fuzzing must detect a violated guarantee.
+// If the absence of a safeguard is not detected, no other fuzz test covers that safeguard.
 #include "fuzz/Actions.h"
 
 #include <gtest/gtest.h>
@@ -12,13 +12,13 @@
 
 constexpr std::uint64_t seedsTried = 200;
 
-/** Fuzzes with hooks made by \p hooksOf and expects a finding; prints the seed and what was broken. */
+/** Fuzzes with hooks made by \p hooksOf and expects a finding; prints the seed and the violated guarantee. */
 void expectFinding(const std::function<WorldHooks(World &)> &hooksOf)
 {
     FuzzCounts counts;
-    const FuzzRun run{.firstSeed_ = 1, .seeds_ = seedsTried, .longest_ = 200, .shrink_ = false};
+    const FuzzRun run{.firstSeed_ = 1, .seeds_ = seedsTried, .maxActions_ = 200, .shrink_ = false};
     const std::optional<FuzzFinding> finding = fuzz(run, counts, [&](Trial &trial) { trial.world().hooks_ = hooksOf(trial.world()); });
-    ASSERT_TRUE(finding.has_value()) << "not noticed in " << seedsTried << " seeds";
+    ASSERT_TRUE(finding.has_value()) << "no violation detected in " << seedsTried << " seeds";
     const std::size_t mark = finding->report_.find("trial.trace())\n\n");
     const std::size_t from = mark == std::string::npos ? 0 : finding->report_.find_first_not_of('\n', mark + 14);
     std::cout << "seed " << finding->seed_ << ": " << finding->report_.substr(from, finding->report_.find('\n', from) - from) << "\n";
@@ -166,11 +166,11 @@
 TEST(OracleFinds, anAnswerTakenForAnotherRequests)
 {
     expectFinding([](World &) {
-        const auto former = std::make_shared<std::string>();
+        const auto previousBody = std::make_shared<std::string>();
         WorldHooks hooks;
-        hooks.beforeEvent_ = [former](ProxyIndex, ProxyState &, EventBody &body) {
+        hooks.beforeEvent_ = [previousBody](ProxyIndex, ProxyState &, EventBody &body) {
             if (auto *answered = std::get_if<UpstreamAnswered>(&body)) {
-                std::swap(*former, answered->answer_.body_);
+                std::swap(*previousBody, answered->answer_.body_);
             }
         };
         return hooks;
--- a/test/fuzz/Trial.h
+++ b/test/fuzz/Trial.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines a trial: a world, callers with sessions that hop between proxies, faults that end by themselves, and the oracle.
+ * Defines a trial: a world, callers with sessions that switch between proxies, faults that end by themselves, and the oracle.
  */
 #pragma once
 
@@ -8,12 +8,12 @@
 
 namespace Figward::Testing {
 
-/** What a step of a trial does. */
+/** Kind of a step of a trial. */
 enum class ActionKind {
     Write,
     Read,
-    Retry, ///< Asks again, by the same key, for a write whose fate the caller does not know.
-    Transact, ///< Takes the next step of the session's transaction.
+    Retry, ///< Retries, with the same key, a write whose outcome the caller does not know.
+    Transact, ///< Executes the next step of the session's transaction.
     Wait,
     CutZones,
     CutPlatform,
@@ -29,14 +29,14 @@
 };
 constexpr std::size_t actionKinds = 16;
 
-/** One step. The numbers are taken modulo what there is. */
+/** One step. Each index is taken modulo the number of available objects. */
 struct Action
 {
     ActionKind kind_ = ActionKind::Wait;
-    std::size_t who_ = 0; ///< Session, or what the fault hits.
+    std::size_t who_ = 0; ///< Session, or target of the fault.
     std::size_t where_ = 0; ///< Proxy, group or second zone.
-    std::size_t choice_ = 0; ///< Refines the kind.
-    Duration time_{}; ///< Wait, or how long the fault lasts.
+    std::size_t choice_ = 0; ///< Variant of the kind.
+    Duration time_{}; ///< Duration of the wait or fault.
 };
 
 /** Text of \p action, as failure reports show it. */
@@ -49,8 +49,8 @@
     SessionToken token_;
     Sequence next_{1};
     bool busy_ = false;
-    std::optional<WriteNumber> open_; ///< Its fate is unknown to the caller.
-    std::map<std::pair<GroupId, std::string>, std::set<std::string>> told_; ///< Tags by value that it was told are written.
+    std::optional<WriteNumber> open_; ///< Write whose outcome is unknown to the caller.
+    std::map<std::pair<GroupId, std::string>, std::set<std::string>> acknowledgedTags_; ///< Tags of the writes acknowledged to the session, by value.
     TransactionId transaction_;
     ProxyIndex transactionProxy_ = 0;
     WriteNumber transactionWrite_ = 0;
@@ -63,16 +63,16 @@
     explicit Trial(std::uint64_t seed);
 
     void perform(const Action &action);
-    /** Heals everything, waits until the groups agree, and compares their logs with what callers were told. */
+    /** Ends all faults, waits until the groups agree, and compares their logs with the answers to callers. */
     void finish();
     [[nodiscard]] const std::vector<std::string> &violations() const;
     [[nodiscard]] const FuzzCounts &counts() const;
     [[nodiscard]] World &world();
-    /** Events, effects and actions so far; the end of them if there are many. */
+    /** Events, effects and actions so far; only the last ones if there are many. */
     [[nodiscard]] std::string trace() const;
 
 private:
-    /** A tag and when its write was acknowledged. */
+    /** A tag and the time at which its write was acknowledged. */
     struct Acknowledged
     {
         std::string tag_;
@@ -93,10 +93,10 @@
     void sendWrite(Session &session, ProxyIndex proxy, WriteNumber number, Request request);
     void ask(Session &session, ProxyIndex proxy, Request request, std::function<void(const std::optional<Answer> &)> reply);
     static void endTransaction(Session &session);
-    Request stepOf(const Session &session, RequestKind kind);
-    void noteDone(Session &session, WriteNumber number);
+    Request makeStepRequest(const Session &session, RequestKind kind);
+    void recordDone(Session &session, WriteNumber number);
     void checkOutcome(const Request &request, ProxyIndex proxy, Time askedAt, const std::optional<Answer> &answer);
-    std::optional<Answer> writePatiently(ProxyIndex proxy, Request request);
+    std::optional<Answer> writeWithRetries(ProxyIndex proxy, Request request);
     void checkRecovered(std::size_t group);
     [[nodiscard]] std::set<std::string> writtenBefore(const GroupId &group, const std::string &key, Time before) const;
     Session *freeSession(std::size_t who);
@@ -106,7 +106,7 @@
     Oracle oracle_;
     std::vector<Session> sessions_;
     std::map<std::pair<GroupId, std::string>, std::vector<Acknowledged>> acknowledged_;
-    Time excusedUntil_; ///< Faults, or their after-effects, may explain an unknown outcome until then.
+    Time faultEffectsUntil_; ///< Until this time, faults or their after-effects may explain an unknown outcome.
     std::size_t unanswered_ = 0;
 };
 
--- a/test/performance/OwnersTrial.cpp
+++ b/test/performance/OwnersTrial.cpp
@@ -1,11 +1,11 @@
 /** \file
- * Compares, in a model in virtual time, who keeps the connections to members when a connection belongs to one organisation: every VM for itself, or owners to
- * which the other VMs send their statements.
+ * Compares, in a model in virtual time, policies for keeping connections to members when each connection belongs to one organisation: every VM opens its own,
+ * or the other VMs send their statements to owners.
  *
- * The model has members with slots and a limit of connections, openings that take a slot, statements of three kinds, and organisations of unequal size. It has no
- * faults, leases or positions: it answers only how often a connection is met again, what openings cost, and how long statements wait.
+ * The model has members with slots and a limit of connections, connection openings that take a slot, statements of three kinds, and organisations of unequal
+ * size. It has no faults, leases or positions: it shows only how often a connection is reused, what opening connections costs, and how long statements wait.
  *
- * Usage: figward_owners_trial [SECONDS]. Prints one line for each deployment, load and way.
+ * Usage: figward_owners_trial [SECONDS]. Prints one line for each deployment, load and policy.
  */
 #include <algorithm>
 #include <array>
@@ -24,25 +24,25 @@
 namespace {
 
 constexpr unsigned zones = 3;
-constexpr double inZoneMs = 0.2; ///< One way.
+constexpr double inZoneMs = 0.2; ///< One-way latency.
 constexpr double betweenZonesMs = 1.4;
-constexpr double openingMs = 12;
-constexpr double fullPauseMs = 30; ///< Mean, after a member refused a connection as full.
-constexpr double budgetMs = 1500;
+constexpr double connectMs = 12;
+constexpr double meanRetryDelayMs = 30; ///< Mean delay after a member refused a connection because it was full.
+constexpr double timeoutMs = 1500;
 
-/** Who keeps connections. */
-enum class Way {
-    EachVm, ///< As it stands: a VM opens for itself.
+/** Policy for keeping connections. */
+enum class OwnershipPolicy {
+    EachVm, ///< Each VM opens connections for itself, as figward does.
     GroupAndZone, ///< One owner for each group and zone.
-    OrganisationAndZone, ///< One for each organisation, group and zone.
-    Organisation, ///< One for each organisation and group, in any zone.
+    OrganisationAndZone, ///< One owner for each organisation, group and zone.
+    Organisation, ///< One owner for each organisation and group, in any zone.
 };
-constexpr std::array ways{Way::EachVm, Way::GroupAndZone, Way::OrganisationAndZone, Way::Organisation};
+constexpr std::array policies{OwnershipPolicy::EachVm, OwnershipPolicy::GroupAndZone, OwnershipPolicy::OrganisationAndZone, OwnershipPolicy::Organisation};
 
-const char *nameOf(Way way)
+const char *nameOf(OwnershipPolicy policy)
 {
     constexpr std::array names{"each VM", "owner by group and zone", "owner by organisation, group, zone", "owner by organisation, group"};
-    return names[static_cast<std::size_t>(way)];
+    return names[static_cast<std::size_t>(policy)];
 }
 
 struct Deployment
@@ -52,19 +52,19 @@
     unsigned organisations_ = 75;
     unsigned slots_ = 3;
     unsigned connections_ = 42;
-    double load_ = 1; ///< Of what takes 29% of all slots by work alone.
-    double resting_ = 0.25; ///< Part of a member's connections that rest on average.
+    double load_ = 1; ///< Multiple of the load whose work alone takes 29% of all slots.
+    double idleFraction_ = 0.25; ///< Fraction of a member's connections that are idle on average.
 };
 
 struct Kind
 {
-    double part_;
+    double fraction_;
     double workMs_;
-    double primary_; ///< Part that only the primary may run.
-    double aimMs_;
+    double primary_; ///< Fraction that only the primary may run.
+    double targetMs_;
 };
 constexpr std::array kinds{Kind{0.135, 6, 1, 150}, Kind{0.234, 30, 0, 500}, Kind{0.631, 18, 0.2, 250}};
-constexpr double usualWork = 0.29;
+constexpr double baseWorkFraction = 0.29;
 
 struct Statement
 {
@@ -78,11 +78,11 @@
 struct Counts
 {
     std::array<unsigned, kinds.size()> asked_{};
-    std::array<unsigned, kinds.size()> inAim_{};
-    std::uint64_t openings_ = 0;
-    std::uint64_t refusals_ = 0; ///< Connections, by full members.
-    std::uint64_t waited_ = 0; ///< Statements that found no connection at rest.
-    double workMs_ = 0; ///< Of slots.
+    std::array<unsigned, kinds.size()> withinTarget_{};
+    std::uint64_t openedConnections_ = 0;
+    std::uint64_t refusals_ = 0; ///< Connections refused by full members.
+    std::uint64_t waited_ = 0; ///< Statements that found no idle connection.
+    double workMs_ = 0; ///< Work time of slots.
     std::uint64_t hops_ = 0;
     std::uint64_t hopsBetweenZones_ = 0;
     std::map<unsigned, std::uint64_t> owned_; ///< Statements by owner VM.
@@ -94,15 +94,15 @@
     unsigned connections_ = 0;
 };
 
-/** Who holds a connection, at which member, for whom. */
+/** Holder of a connection, its member, and the organisation it is for. */
 using Pool = std::tuple<unsigned, unsigned, unsigned>;
 
 class Model
 {
 public:
-    Model(const Deployment &deployment, Way way, std::uint64_t seed)
+    Model(const Deployment &deployment, OwnershipPolicy policy, std::uint64_t seed)
         : deployment_(deployment)
-        , way_(way)
+        , policy_(policy)
         , random_(seed)
         , members_(std::size_t{deployment.groups_} * zones)
     {
@@ -111,7 +111,7 @@
         }
         std::vector<double> sizes;
         for (unsigned rank = 1; rank <= deployment.organisations_; ++rank) {
-            sizes.push_back(1.0 / rank); // A few carry half.
+            sizes.push_back(1.0 / rank); // A few organisations produce half of the load.
         }
         organisations_ = std::discrete_distribution<unsigned>(sizes.begin(), sizes.end());
     }
@@ -120,9 +120,9 @@
     {
         double meanWork = 0;
         for (const Kind &kind : kinds) {
-            meanWork += kind.part_ * kind.workMs_;
+            meanWork += kind.fraction_ * kind.workMs_;
         }
-        perMs_ = deployment_.load_ * usualWork * static_cast<double>(members_.size()) * deployment_.slots_ / meanWork;
+        arrivalsPerMs_ = deployment_.load_ * baseWorkFraction * static_cast<double>(members_.size()) * deployment_.slots_ / meanWork;
         end_ = ms;
         arrive(0);
         while (!events_.empty()) {
@@ -158,7 +158,7 @@
 
     void arrive(double after)
     {
-        const double at = after + std::exponential_distribution<double>(perMs_)(random_);
+        const double at = after + std::exponential_distribution<double>(arrivalsPerMs_)(random_);
         if (at < end_) {
             schedule(at, [this, at] {
                 begin();
@@ -171,7 +171,7 @@
     {
         Statement statement;
         const double part = uniform();
-        statement.kind_ = part < kinds[0].part_ ? 0 : part < kinds[0].part_ + kinds[1].part_ ? 1 : 2;
+        statement.kind_ = part < kinds[0].fraction_ ? 0 : part < kinds[0].fraction_ + kinds[1].fraction_ ? 1 : 2;
         statement.organisation_ = organisations_(random_);
         statement.vm_ = static_cast<unsigned>(random_() % deployment_.vms_);
         statement.arrived_ = now_;
@@ -181,7 +181,7 @@
         if (uniform() < kinds[statement.kind_].primary_) {
             place = primary;
         } else if (place == primary) {
-            place = (place + 1 + static_cast<unsigned>(random_() % 2)) % zones; // Reads leave the primary its room.
+            place = (place + 1 + static_cast<unsigned>(random_() % 2)) % zones; // Reads avoid the primary to keep its capacity free.
         }
         statement.member_ = group * zones + place;
         ++counts_.asked_[statement.kind_];
@@ -204,14 +204,14 @@
     {
         const unsigned zone = statement.vm_ % zones;
         const std::uint64_t pair = std::uint64_t{statement.organisation_} * deployment_.groups_ + group + 1;
-        switch (way_) {
-        case Way::EachVm:
+        switch (policy_) {
+        case OwnershipPolicy::EachVm:
             return statement.vm_;
-        case Way::GroupAndZone:
+        case OwnershipPolicy::GroupAndZone:
             return vmOf(group + 1, zone, false);
-        case Way::OrganisationAndZone:
+        case OwnershipPolicy::OrganisationAndZone:
             return vmOf(pair, zone, false);
-        case Way::Organisation:
+        case OwnershipPolicy::Organisation:
             return vmOf(pair, zone, true);
         }
         return statement.vm_;
@@ -228,15 +228,15 @@
         return same ? inZoneMs : betweenZonesMs;
     }
 
-    /** How long a connection rests: so that the part that is wanted rests on average, if all holders come as often as this one. */
-    double restMs() const
+    /** Idle time before a connection is closed, such that the wanted fraction is idle on average if all holders are equally frequent. */
+    double idleTimeMs() const
     {
-        const double holders = way_ == Way::EachVm         ? deployment_.vms_
-                               : way_ == Way::Organisation ? deployment_.organisations_
-                                                           : zones * deployment_.organisations_;
-        const double perHolder = perMs_ / static_cast<double>(members_.size()) / holders;
-        const double reuse = std::min(0.95, deployment_.resting_ * deployment_.connections_ / holders);
-        const double longest = way_ == Way::EachVm ? 1000 : 10000;
+        const double holders = policy_ == OwnershipPolicy::EachVm         ? deployment_.vms_
+                               : policy_ == OwnershipPolicy::Organisation ? deployment_.organisations_
+                                                                          : zones * deployment_.organisations_;
+        const double perHolder = arrivalsPerMs_ / static_cast<double>(members_.size()) / holders;
+        const double reuse = std::min(0.95, deployment_.idleFraction_ * deployment_.connections_ / holders);
+        const double longest = policy_ == OwnershipPolicy::EachVm ? 1000 : 10000;
         return std::min(longest, -std::log(1 - reuse) / perHolder);
     }
 
@@ -256,7 +256,7 @@
         while (!idle.empty()) {
             const std::uint64_t connection = idle.back();
             idle.pop_back();
-            if (resting_.erase(connection) > 0) {
+            if (idleConnections_.erase(connection) > 0) {
                 work(statement, pool, connection);
                 return;
             }
@@ -267,18 +267,18 @@
 
     void open(const Statement &statement, const Pool &pool)
     {
-        if (now_ - statement.arrived_ > budgetMs) {
+        if (now_ - statement.arrived_ > timeoutMs) {
             return;
         }
         Member &member = members_[statement.member_];
         if (member.connections_ >= deployment_.connections_) {
             ++counts_.refusals_;
-            schedule(now_ + std::exponential_distribution<double>(1 / fullPauseMs)(random_), [this, statement, pool] { open(statement, pool); });
+            schedule(now_ + std::exponential_distribution<double>(1 / meanRetryDelayMs)(random_), [this, statement, pool] { open(statement, pool); });
             return;
         }
         ++member.connections_;
-        ++counts_.openings_;
-        schedule(slotDone(member, openingMs), [this, statement, pool] { work(statement, pool, nextConnection_++); });
+        ++counts_.openedConnections_;
+        schedule(slotDone(member, connectMs), [this, statement, pool] { work(statement, pool, nextConnection_++); });
     }
 
     void work(const Statement &statement, const Pool &pool, std::uint64_t connection)
@@ -287,44 +287,44 @@
         const double done = slotDone(members_[statement.member_], std::exponential_distribution<double>(1 / kind.workMs_)(random_));
         schedule(done, [this, statement, pool, connection] {
             const double back = hopMs(std::get<0>(pool), statement.vm_);
-            counts_.inAim_[statement.kind_] += now_ + back - statement.arrived_ <= kinds[statement.kind_].aimMs_ ? 1 : 0;
+            counts_.withinTarget_[statement.kind_] += now_ + back - statement.arrived_ <= kinds[statement.kind_].targetMs_ ? 1 : 0;
             idle_[pool].push_back(connection);
-            resting_[connection] = true;
-            schedule(now_ + restMs(), [this, statement, connection, since = now_] { endRest(statement.member_, connection, since); });
-            restSince_[connection] = now_;
+            idleConnections_[connection] = true;
+            schedule(now_ + idleTimeMs(), [this, statement, connection, since = now_] { closeIfIdleSince(statement.member_, connection, since); });
+            idleSince_[connection] = now_;
         });
     }
 
-    void endRest(unsigned member, std::uint64_t connection, double since)
+    void closeIfIdleSince(unsigned member, std::uint64_t connection, double since)
     {
-        const auto at = restSince_.find(connection);
-        const bool rested = at != restSince_.end() && at->second == since;
-        if (rested && resting_.erase(connection) > 0) {
-            restSince_.erase(at);
+        const auto at = idleSince_.find(connection);
+        const bool isStillIdle = at != idleSince_.end() && at->second == since;
+        if (isStillIdle && idleConnections_.erase(connection) > 0) {
+            idleSince_.erase(at);
             --members_[member].connections_;
         }
     }
 
     Deployment deployment_;
-    Way way_;
+    OwnershipPolicy policy_;
     std::mt19937_64 random_;
     std::vector<Member> members_;
     std::discrete_distribution<unsigned> organisations_;
-    double perMs_ = 0;
+    double arrivalsPerMs_ = 0;
     double end_ = 0;
     double now_ = 0;
     std::uint64_t order_ = 0;
     std::uint64_t nextConnection_ = 1;
     std::priority_queue<Event> events_;
     std::map<Pool, std::deque<std::uint64_t>> idle_;
-    std::map<std::uint64_t, bool> resting_;
-    std::map<std::uint64_t, double> restSince_;
+    std::map<std::uint64_t, bool> idleConnections_;
+    std::map<std::uint64_t, double> idleSince_;
     Counts counts_;
 };
 
-void print(const Deployment &deployment, Way way, double seconds)
+void print(const Deployment &deployment, OwnershipPolicy policy, double seconds)
 {
-    const Counts counts = Model(deployment, way, 1).run(seconds * 1000);
+    const Counts counts = Model(deployment, policy, 1).run(seconds * 1000);
     unsigned asked = 0;
     for (const unsigned kind : counts.asked_) {
         asked += kind;
@@ -333,20 +333,20 @@
     for (const auto &[vm, statements] : counts.owned_) {
         busiest = std::max(busiest, statements);
     }
-    const auto share = [&](std::size_t kind) { return counts.asked_[kind] == 0 ? 1.0 : static_cast<double>(counts.inAim_[kind]) / counts.asked_[kind]; };
+    const auto share = [&](std::size_t kind) { return counts.asked_[kind] == 0 ? 1.0 : static_cast<double>(counts.withinTarget_[kind]) / counts.asked_[kind]; };
     std::printf("| %u | %u | %u | %.1f | %.2f | %s | %.3f | %.3f | %.3f | %.2f | %.2f | %.2f | %.2f | %.2f | %.1f |\n",
                 deployment.vms_,
                 deployment.groups_,
                 deployment.organisations_,
                 deployment.load_,
-                deployment.resting_,
-                nameOf(way),
+                deployment.idleFraction_,
+                nameOf(policy),
                 share(0),
                 share(1),
                 share(2),
-                static_cast<double>(counts.openings_) / asked,
+                static_cast<double>(counts.openedConnections_) / asked,
                 static_cast<double>(counts.refusals_) / asked,
-                static_cast<double>(counts.openings_) * openingMs / counts.workMs_,
+                static_cast<double>(counts.openedConnections_) * connectMs / counts.workMs_,
                 static_cast<double>(counts.hops_) / asked,
                 static_cast<double>(counts.hopsBetweenZones_) / asked,
                 static_cast<double>(busiest) * deployment.vms_ / asked);
@@ -365,12 +365,12 @@
     for (const auto &[vms, groups] : {std::pair(8U, 3U), {24U, 3U}, {66U, 8U}, {100U, 12U}, {295U, 20U}, {295U, 36U}}) {
         for (const unsigned organisations : {1U, 75U}) {
             for (const double load : {0.5, 1.0, 1.7}) {
-                for (const Way way : ways) {
-                    for (const double resting : {0.02, 0.25, 0.6}) {
+                for (const OwnershipPolicy policy : policies) {
+                    for (const double idleFraction : {0.02, 0.25, 0.6}) {
                         Deployment deployment{vms, groups, organisations};
                         deployment.load_ = load;
-                        deployment.resting_ = resting;
-                        print(deployment, way, seconds);
+                        deployment.idleFraction_ = idleFraction;
+                        print(deployment, policy, seconds);
                     }
                 }
             }
--- a/test/performance/ReplicaReads.cpp
+++ b/test/performance/ReplicaReads.cpp
@@ -1,7 +1,8 @@
 /** \file
- * Measures, in virtual time, the share of reads that replicas serve and the latency paid for it, by replication lag and by what the read asks.
+ * Measures, in virtual time, the share of reads that replicas serve and the resulting latency, by replication lag and by
+ * the consistency that the read requires.
  *
- * Beside it, in the same run and for the same reads: the same reads sent to the primary always, and the share that a rule without waiting or ages would have
+ * For comparison, in the same run: the same reads always sent to the primary, and the share that a rule without waiting or ages would have
  * sent to a replica (the token is in some replica's last known position). Usage: ReplicaReads [SEED].
  */
 #include "support/World.h"
@@ -23,19 +24,19 @@
 constexpr Duration readInterval = 5 * millisecond;
 constexpr std::size_t sessions = 16;
 
-/** What a read asks. */
-struct Need
+/** Consistency that a read requires. */
+struct ReadRequirement
 {
     const char *name_;
     bool token_ = false;
     std::optional<Duration> maxStaleness_;
 };
 
-const std::array needs{Need{"primary always", false, std::nullopt},
-                       Need{"token", true, std::nullopt},
-                       Need{"staleness 0.1 s", false, 100 * millisecond},
-                       Need{"staleness 1 s", false, second},
-                       Need{"staleness 10 s", false, 10 * second}};
+const std::array readRequirements{ReadRequirement{"primary always", false, std::nullopt},
+                                  ReadRequirement{"token", true, std::nullopt},
+                                  ReadRequirement{"staleness 0.1 s", false, 100 * millisecond},
+                                  ReadRequirement{"staleness 1 s", false, second},
+                                  ReadRequirement{"staleness 10 s", false, 10 * second}};
 constexpr std::array lags{5 * millisecond, 50 * millisecond, 500 * millisecond, 5 * second};
 
 /** Figures of one row. */
@@ -44,18 +45,18 @@
     std::uint64_t reads_ = 0;
     std::uint64_t done_ = 0;
     std::uint64_t replica_ = 0;
-    std::uint64_t ruleReplica_ = 0; ///< That the rule without waiting or ages would have sent to a replica.
+    std::uint64_t ruleReplica_ = 0; ///< Reads that the rule without waiting or ages would have sent to a replica.
     std::vector<Duration> latencies_;
 };
 
-/** Sessions that write, and read what they need at other proxies. */
+/** Sessions that write and read through random proxies; each read has the given consistency requirement. */
 class Reads
 {
 public:
-    Reads(std::uint64_t seed, Duration lag, Need need)
+    Reads(std::uint64_t seed, Duration lag, ReadRequirement requirement)
         : world_(configFor(seed, lag))
         , random_(seed)
-        , need_(need)
+        , requirement_(requirement)
         , tokens_(sessions)
     {
         world_.run(3 * second);
@@ -114,8 +115,8 @@
     void read(std::size_t session, ProxyIndex proxy)
     {
         Request read = request(RequestKind::Read, "get n");
-        read.token_ = need_.token_ ? tokens_[session] : SessionToken{};
-        read.maxStaleness_ = need_.maxStaleness_;
+        read.token_ = requirement_.token_ ? tokens_[session] : SessionToken{};
+        read.maxStaleness_ = requirement_.maxStaleness_;
         ++row_.reads_;
         row_.ruleReplica_ += ruleAllowsReplica(tokens_[session]) ? 1 : 0;
         const Time asked = world_.now();
@@ -128,7 +129,7 @@
         });
     }
 
-    /** By the positions that the first owner knows now. */
+    /** Evaluated with the positions currently known to the first owner. */
     bool ruleAllowsReplica(const SessionToken &token)
     {
         const auto point = token.points_.find(World::groupId(0));
@@ -147,7 +148,7 @@
 
     World world_;
     std::mt19937_64 random_;
-    Need need_;
+    ReadRequirement requirement_;
     std::vector<SessionToken> tokens_;
     std::uint64_t sequence_ = 0;
     Row row_;
@@ -170,15 +171,15 @@
     const std::uint64_t seed = argc > 1 ? std::strtoull(argv[1], nullptr, 10) : 1;
     std::printf("| lag | reads ask | reads | done | by replicas | rule without waiting or ages | median ms | p99 ms |\n|---|---|---|---|---|---|---|---|\n");
     for (const Duration lag : lags) {
-        for (const Need &need : needs) {
-            Row row = Reads(seed, lag, need).row();
+        for (const ReadRequirement &requirement : readRequirements) {
+            Row row = Reads(seed, lag, requirement).row();
             const double replicas = 100.0 * static_cast<double>(row.replica_) / static_cast<double>(std::max<std::uint64_t>(1, row.done_));
             const double rule = 100.0 * static_cast<double>(row.ruleReplica_) / static_cast<double>(row.reads_);
             const double median = percentile(row.latencies_, 0.5);
             const double p99 = percentile(row.latencies_, 0.99);
             std::printf("| %lld ms | %s | %llu | %llu | %.1f %% | %.1f %% | %.2f | %.2f |\n",
                         static_cast<long long>(toMillis(lag)),
-                        need.name_,
+                        requirement.name_,
                         static_cast<unsigned long long>(row.reads_),
                         static_cast<unsigned long long>(row.done_),
                         replicas,
