--- a/src/Manifest.h
+++ b/src/Manifest.h
@@ -27,8 +27,8 @@
 {
     ConfigVersion version_;
     AttemptId attempt_; ///< Id of the apply that wrote this manifest.
-    std::vector<AttemptId>
-        earlierAttempts_; ///< Attempts of previous versions, newest first. An author whose version was replaced at once finds its attempt here.
+    /** Attempts of previous versions, newest first. An author whose version was replaced at once finds its attempt here. */
+    std::vector<AttemptId> earlierAttempts_;
     std::vector<ManifestPart> parts_; ///< Ordered by name.
     bool operator==(const Manifest &) const = default;
 };
--- a/src/SessionEvents.h
+++ b/src/SessionEvents.h
@@ -48,8 +48,8 @@
     bool leads_ = false; ///< The sender is the leader; it then sets the fields below, except authorityAge_, from its own claim.
     std::uint64_t generation_ = 0;
     ClaimPhase phase_ = ClaimPhase::Replacing;
-    std::optional<Duration>
-        authorityAge_; ///< Sent while the leader is unresponsive: age of the sender's authority over the primary below, relayed to the receiver.
+    /** Sent while the leader is unresponsive: age of the sender's authority over the primary below, relayed to the receiver. */
+    std::optional<Duration> authorityAge_;
     MemberId primary_;
     Term term_;
     Duration claimRemaining_{}; ///< Remaining time for which the leader relies on its claim.
--- a/src/SessionState.h
+++ b/src/SessionState.h
@@ -184,8 +184,8 @@
     Time authorityLostAt_; ///< Time when authority was last lost; the start of the process until it is first held.
     std::uint64_t heldEpoch_ = 0; ///< Epoch of the authority held last; zero before the first. Authority of a later epoch follows a replacement.
     QueueHistory queue_; ///< History of waiting_.
-    std::set<MemberId>
-        persistentMembers_; ///< Members to which this VM keeps a persistent connection while connections are scarce: a replica, the primary, or both.
+    /** Members to which this VM keeps a persistent connection while connections are scarce: a replica, the primary, or both. */
+    std::set<MemberId> persistentMembers_;
     Time persistentMembersReviewAt_; ///< Earliest time at which these members are chosen again.
 };
 
@@ -326,8 +326,8 @@
     std::uint64_t directoryRevision_ = 0;
     std::set<std::string> unusableEntries_; ///< Directory entries that could not be used; each is logged once.
     bool directoryKnown_ = false;
-    std::uint64_t directoryFingerprint_ =
-        0; ///< Fingerprint of the directory's content, equal on all VMs that know the same members; zero: no directory is known.
+    /** Fingerprint of the directory's content, equal on all VMs that know the same members; zero: no directory is known. */
+    std::uint64_t directoryFingerprint_ = 0;
     std::map<SessionKey, ClientSession> sessions_;
     std::set<SessionKey> unaccepted_; ///< The sessions among these that are not accepted yet.
     std::map<ConnectionId, MemberConnection> connections_;
