--- a/src/ConnectionPlan.h
+++ b/src/ConnectionPlan.h
@@ -23,14 +23,14 @@
 {
     unsigned maxIdle_ = 0; ///< Number that may stay open while no statement uses them.
     unsigned maxOpen_ = 0; ///< Number that may be open while statements wait.
-    Duration idleTimeout_{}; ///< Idle time after which a connection above the first limit is closed.
+    Duration idleTimeout_{}; ///< Idle time after which a connection above maxIdle_ is closed.
     bool temporary_ = false; ///< This VM has no share of the member's connections; all but persistent ones are temporary.
 };
 
 /** Rate at which this VM uses a member, as an exponentially decaying average over several seconds. */
 struct UseRate
 {
-    double perSecond_ = 0; ///< Rate at the time below.
+    double perSecond_ = 0; ///< Rate at at_; see usesPerSecond().
     Time at_;
 };
 /** Records that a statement was sent to the member. */
@@ -83,8 +83,8 @@
  */
 unsigned maxPersistentConnections(unsigned limit);
 /**
- * Whether \p self keeps a persistent connection to \p assigned, the member assigned to it among \p members. The \p maxVms VMs with the highest weights do. \p
- * others are the other known VMs.
+ * Whether \p self keeps a persistent connection to \p assigned, the member assigned to it among \p members. Of the VMs to which that member is assigned, the
+ * \p maxVms with the highest weights do. The other known VMs are \p others.
  */
 bool keepsPersistentConnection(const VmLocation &self,
                                const MemberId &assigned,
--- a/src/MemberConnections.h
+++ b/src/MemberConnections.h
@@ -27,7 +27,7 @@
 void closeMemberConnection(ProxyState &state, ConnectionId connection, Effects &out);
 /**
  * Releases a connection from its session. An open transaction is rolled back, and the connection becomes idle. If a request is pending, the connection is
- * closed, or becomes idle once a statement outside a transaction is answered.
+ * closed, unless that request is a statement outside a transaction: the connection then becomes idle once it is answered.
  */
 void releaseMemberConnection(ProxyState &state, ConnectionId connection, Time now, Effects &out);
 /** Requests a report from a member, unless such a request is pending. */
--- a/src/OrganisationQuota.cpp
+++ b/src/OrganisationQuota.cpp
@@ -74,9 +74,9 @@
 
 /**
  * Fraction of its zone's share that this VM may grant. A VM that may act as limiter grants the whole share if it receives heartbeats from most of the VMs that
- * send to it at the full rate; otherwise it grants only the fraction of the zone's VMs from which it receives such heartbeats, and a VM that
- * cannot be a limiter counts only itself. VMs that are cut off, alone or in groups, choose limiters of their own: if each granted the whole share, they would
- * together grant many times the rate.
+ * send to it at the full rate; otherwise it grants only the fraction of the zone's VMs from which it receives such heartbeats, and a VM that cannot be a
+ * limiter counts only itself. VMs that are cut off, alone or in groups, choose limiters of their own: if each granted the whole share, they would together
+ * grant many times the rate.
  */
 double zoneShareOf(const SessionServiceState &sessions, Time now)
 {
--- a/src/SessionAccess.cpp
+++ b/src/SessionAccess.cpp
@@ -17,7 +17,7 @@
  * hardly any waits.
  */
 constexpr Duration maxCheckAge = std::chrono::milliseconds(2500);
-/** Maximum time that a client waits for such a configuration: clients give up after about 2 s. */
+/** Maximum time for which a session waits for a newer configuration: clients give up after about 2 s. */
 constexpr Duration maxAccessWait = std::chrono::milliseconds(1200);
 
 /** Decision on a session that is not accepted yet. */
@@ -91,9 +91,9 @@
     std::size_t revoked = 0;
     for (auto &[key, session] : sessions.sessions_) {
         const auto route = sessions.configuration_->databases_.find(session.database_);
-        const bool known = route == sessions.configuration_->databases_.end() || callerOf(sessions, session, route->second).admitted_;
-        revoked += session.accepted_ && !known && !session.revoked_ ? 1 : 0;
-        session.revoked_ = session.accepted_ && !known;
+        const bool isAdmitted = route == sessions.configuration_->databases_.end() || callerOf(sessions, session, route->second).admitted_;
+        revoked += session.accepted_ && !isAdmitted && !session.revoked_ ? 1 : 0;
+        session.revoked_ = session.accepted_ && !isAdmitted;
     }
     if (revoked > 0) {
         out.emplace_back(WriteLog{LogNumber::KeysRevoked,
--- a/src/SessionEvents.h
+++ b/src/SessionEvents.h
@@ -53,7 +53,7 @@
     MemberId primary_;
     Term term_;
     Duration claimRemaining_{}; ///< Remaining time for which the leader relies on its claim.
-    std::uint64_t renewals_ = 0; ///< Renewal of the claim that the remaining time is counted from.
+    std::uint64_t renewals_ = 0; ///< Number of the renewal of the claim from which claimRemaining_ is counted.
     std::uint64_t resigned_ = 0; ///< Highest generation whose leader is known to have resigned, as stated by that leader; zero: none.
 };
 
--- a/src/SessionService.cpp
+++ b/src/SessionService.cpp
@@ -61,8 +61,8 @@
 void reviewReady(ProxyState &state, Effects &out)
 {
     SessionServiceState &sessions = *state.sessions_;
-    const bool unlisted = sessions.cutOff_ && sessions.identity_.policies_.notReadyWhenCutOff_;
-    const bool ready = sessions.configuration_ && sessions.directoryKnown_ && !sessions.drainSince_ && !unlisted;
+    const bool isNotReadyAsCutOff = sessions.cutOff_ && sessions.identity_.policies_.notReadyWhenCutOff_;
+    const bool ready = sessions.configuration_ && sessions.directoryKnown_ && !sessions.drainSince_ && !isNotReadyAsCutOff;
     if (sessions.ready_ != ready) {
         sessions.ready_ = ready;
         out.emplace_back(SessionEffect(SetReady{ready}));
@@ -218,8 +218,8 @@
 void runPendingSessionWork(ProxyState &state, Time now, Effects &out)
 {
     for (auto &[id, group] : state.sessions_->groups_) {
-        const bool wasQueue = group.queue_.waitingSince_.has_value();
-        if ((wasQueue || !group.waiting_.empty()) && state.sessions_->configuration_) {
+        const bool wasWaiting = group.queue_.waitingSince_.has_value();
+        if ((wasWaiting || !group.waiting_.empty()) && state.sessions_->configuration_) {
             dispatchStatements(state, group, now, out);
         }
     }
--- a/src/SessionState.h
+++ b/src/SessionState.h
@@ -171,7 +171,7 @@
     PositionSamples samples_;
     std::optional<LeaderClaim> storedClaim_; ///< Claim as last read from the store.
     Time storedClaimChangedAt_; ///< Time when its current content was first read.
-    Time claimEnds_; ///< End of the leader's claim according to its last heartbeat, based on the renewal below.
+    Time claimEnds_; ///< End of the leader's claim according to its last heartbeat, based on the renewal leaderRenewals_.
     std::uint64_t leaderGeneration_ = 0;
     std::uint64_t leaderRenewals_ = 0;
     Time lastLeaderHeartbeat_;
@@ -181,7 +181,7 @@
     std::optional<CallId> claimWrite_;
     std::vector<SessionKey> waiting_; ///< Sessions whose statements wait for a connection, most urgent first.
     bool heldAuthority_ = false; ///< Whether authority was held when last checked and logged.
-    Time authorityLostAt_; ///< Time when authority was last lost; the start of the process until it is first held.
+    Time authorityLostAt_; ///< Time when authority was last lost; not set before the first loss.
     std::uint64_t heldEpoch_ = 0; ///< Epoch of the authority held last; zero before the first. Authority of a later epoch follows a replacement.
     QueueHistory queue_; ///< History of waiting_.
     /** Members to which this VM keeps a persistent connection while connections are scarce: a replica, the primary, or both. */
@@ -320,7 +320,7 @@
     SessionIdentity identity_;
     std::optional<SessionConfiguration> configuration_;
     std::uint64_t configurationRevision_ = 0; ///< Watches and checks request the changes since this revision; zero: the complete configuration must be read.
-    std::optional<UnchangedRevision> unchangedRevision_; ///< Replaces the revision above after some time.
+    std::optional<UnchangedRevision> unchangedRevision_; ///< Replaces configurationRevision_ after some time.
     ConfigVersion newestReported_; ///< Newest version among the configurations of other VMs.
     ConfigurationDelay delay_;
     std::uint64_t directoryRevision_ = 0;
@@ -329,7 +329,7 @@
     /** Fingerprint of the directory's content, equal on all VMs that know the same members; zero: no directory is known. */
     std::uint64_t directoryFingerprint_ = 0;
     std::map<SessionKey, ClientSession> sessions_;
-    std::set<SessionKey> unaccepted_; ///< The sessions among these that are not accepted yet.
+    std::set<SessionKey> unaccepted_; ///< Keys of the sessions in sessions_ that are not accepted yet.
     std::map<ConnectionId, MemberConnection> connections_;
     std::map<MemberId, MemberState> members_;
     std::map<ServiceId, SessionGroup> groups_;
--- a/src/SessionStatements.cpp
+++ b/src/SessionStatements.cpp
@@ -58,7 +58,7 @@
     sendNextStep(state, *connection, now, out);
 }
 
-/** Sets the route and the organisation of an operation that begins. Returns false if the operation was refused, which has then been answered. */
+/** Sets the route and the organisation of an operation that begins. Returns false if the operation was refused; the error has then been sent to the client. */
 bool beginOperation(ProxyState &state, ClientSession &session, Effects &out)
 {
     const DatabaseRoute *route = findRoute(state, session.database_);
--- a/src/SessionStatements.h
+++ b/src/SessionStatements.h
@@ -16,7 +16,7 @@
 void onSessionClosed(ProxyState &state, SessionKey session, Time now, Effects &out);
 /** Handles the deadline timer of a statement of the session, which may belong to an earlier statement. */
 void onStatementDeadline(ProxyState &state, SessionKey session, Time now, Effects &out);
-/** Starts the statements that the client sent before it received the reply just given. */
+/** Handles, in order, the statements that the client sent before the previous one was answered, until one of them is in progress. */
 void takeNextStatement(ProxyState &state, ClientSession &session, Time now, Effects &out);
 /** Ends transactions that are idle for too long, and moves reads from unresponsive members to other members. */
 void reviewSessions(ProxyState &state, Time now, Effects &out);
--- a/src/StatementDispatch.cpp
+++ b/src/StatementDispatch.cpp
@@ -127,15 +127,15 @@
     return noneReachable && sessions.identity_.policies_.refusesWhenCutOff_ && (sessions.cutOff_ || isPrimaryHeardElsewhere(sessions, group, now));
 }
 
-/** Forecast of the time until this VM may use a primary of the group; absent while it has one or cannot tell. */
+/** Forecast of the time until this VM may use a primary of the group; absent while it may use one, or if it has never been allowed to use one. */
 std::optional<WaitForecast> forecastPrimary(const SessionServiceState &sessions, const SessionGroup &group, Time now)
 {
     if (holdsAuthority(group.authority_, now) || group.heldEpoch_ == 0) {
         return std::nullopt; // A VM that has just started usually gets authority within its first second.
     }
     const Duration elapsed = now - group.authorityLostAt_;
-    const bool replaced = group.authority_.primary_ == MemberId(); // Revoked: its replacement is being chosen or promoted.
-    return replaced ? remainingOutage(sessions.outages_, elapsed) : WaitForecast{elapsed, false};
+    const bool isBeingReplaced = group.authority_.primary_ == MemberId(); // Revoked: its replacement is being chosen or promoted.
+    return isBeingReplaced ? remainingOutage(sessions.outages_, elapsed) : WaitForecast{elapsed, false};
 }
 
 /** Forecast of the wait of a statement behind \p ahead others; absent if nothing is known. */
--- a/src/StatementOutcome.h
+++ b/src/StatementOutcome.h
@@ -33,11 +33,11 @@
 
 /** Ends the statement with \p reply; the transaction state of the session must have been updated. */
 void finishStatement(ProxyState &state, ClientSession &session, SessionReply reply, Time now, Effects &out);
-/** Ends a statement that did not run with an error. An open transaction is rolled back. */
+/** Ends a statement that did not run; the client receives the error. An open transaction is rolled back. */
 void refuseStatement(ProxyState &state, ClientSession &session, ReplyCode code, std::string text, Time now, Effects &out);
 /** Ends a statement of which it is unknown whether it ran, or whose result the client must not rely on. Its connection is closed. */
 void finishUnconfirmed(ProxyState &state, ClientSession &session, ReplyCode code, std::string text, Time now, Effects &out);
-/** Retries an operation at a member other than \p avoided. No part of it may have run that must not run twice. */
+/** Retries an operation after a delay, but not at \p avoided unless that is the primary. No part of the operation may have run that must not run twice. */
 void retryStatement(ProxyState &state, ClientSession &session, const MemberId &avoided, const std::string &reason, Time now, Effects &out);
 
 } // namespace Figward
--- a/src/WaitForecast.h
+++ b/src/WaitForecast.h
@@ -29,7 +29,7 @@
 struct WaitForecast
 {
     Duration remaining_{};
-    bool known_ = true; ///< If false, the end is unknown: the first field is how long the cause has lasted, and it may last as long again.
+    bool known_ = true; ///< If false, the end is unknown: remaining_ is then how long the cause has lasted, and it may last as long again.
     bool operator==(const WaitForecast &) const = default;
 };
 
