--- a/src/ConfigurationAttempts.cpp
+++ b/src/ConfigurationAttempts.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-/** Timeout for the begin of another VM's answer, which takes some milliseconds unless its processor or link is very busy. */
+/** Timeout for the start of another VM's answer, which takes some milliseconds unless its processor or link is very busy. */
 constexpr Duration vmAnswerTimeout = std::chrono::milliseconds(250);
-/** Timeout for the begin of the store's answer, which takes up to about 400 ms when the store is slow. */
+/** Timeout for the start of the store's answer, which takes up to about 400 ms when the store is slow. */
 constexpr Duration storeAnswerTimeout = std::chrono::milliseconds(600);
 /** Minimum time allowed for an answer that has begun to arrive; it is allowed at least twice the time of the last transfer. */
 constexpr Duration minTransferTimeout = std::chrono::milliseconds(1000);
--- a/src/ConfigurationDelay.h
+++ b/src/ConfigurationDelay.h
@@ -24,7 +24,7 @@
 std::optional<Duration> timeBehind(const SessionServiceState &sessions, Time now);
 /** Records that a heartbeat stated a newer configuration than this VM has. */
 void recordBehind(SessionServiceState &sessions, Time now);
-/** Records that a configuration has become active; ends the delay unless a still newer one is known of. */
+/** Records that a configuration has become active; ends the delay, or restarts it if a still newer one is known of. */
 void recordActiveVersion(SessionServiceState &sessions, Time now);
 /**
  * Logs that this VM has been behind for a while, or that the configuration has not been compared with the store's for a while by any VM that this one hears.
--- a/src/CutOff.cpp
+++ b/src/CutOff.cpp
@@ -115,7 +115,7 @@
     }
     const MemberState &member = primary->second;
     if (!isUnavailable(member) && !probesPrimary(sessions, group)) {
-        return true; // It was sent no request recently, or has answered all.
+        return true; // The primary was sent no request recently, or has answered all.
     }
     return (member.lastAnsweredAt_ && now - *member.lastAnsweredAt_ < lossTimeout) || (member.refusedAt_ && now - *member.refusedAt_ < lossTimeout);
 }
--- a/src/GroupLeadership.h
+++ b/src/GroupLeadership.h
@@ -1,10 +1,10 @@
 /** \file
  * Defines group leadership: which VM may replace a group's primary.
  *
- * A VM leads a group by holding a claim in the store, which it renews. Another VM takes over a claim only when the claim has certainly ended: it was released,
- * the claimant's VM was restarted, or it was not renewed for longer than its holder relies on it. While the store is unavailable no VM can take a claim. The
- * leader continues until its own claim expires, and the other VMs follow its heartbeats, or read the claims from the store if they do not receive the leader's
- * heartbeats.
+ * A VM leads a group by holding a claim in the store, which it renews. Another VM takes over a claim only when the claim has certainly ended: it was released
+ * or resigned, the claimant's VM was restarted, or it was not renewed for longer than its holder relies on it. While the store is unavailable no VM can take a
+ * claim. The leader continues until its own claim expires, and the other VMs follow its heartbeats, or read the claims from the store if they do not receive
+ * the leader's heartbeats.
  */
 #pragma once
 
--- a/src/HeartbeatPace.cpp
+++ b/src/HeartbeatPace.cpp
@@ -13,12 +13,12 @@
 /** Up to this number of VMs, heartbeats between all pairs cost less than a hundredth of what the VMs themselves cost. */
 constexpr unsigned fullMeshVms = 12;
 /**
- * Average number of peers of each VM that use the short interval although neither of the pair leads. With four zones, all but one in 400 VMs have at least one
- * such peer in another zone.
+ * Average number of peers of each VM that use the short interval although neither of the pair leads or is a delegate of the other's zone. With four zones, all
+ * but one in 400 VMs have at least one such peer in another zone.
  */
 constexpr unsigned shortIntervalPeers = 6;
 
-/** Long interval, for each known VM: every VM sends about 17 such heartbeats a second regardless of the number of VMs. */
+/** The long interval is this times the number of known VMs: every VM sends about 17 such heartbeats a second regardless of the number of VMs. */
 constexpr Duration longIntervalPerVm = std::chrono::milliseconds(60);
 
 /** Pseudo-random weight of a pair, equal at both VMs. */
--- a/src/PrimaryReplacement.cpp
+++ b/src/PrimaryReplacement.cpp
@@ -17,13 +17,13 @@
 
 /** The primary is replaced if no VM has received an answer from it for this long. Slow members answer report requests within about 300 ms. */
 constexpr Duration primarySilenceTimeout = std::chrono::milliseconds(900);
-/** The same while the primary refuses connections: its process is gone, and only a network fault could give the same impression. */
+/** Replaces primarySilenceTimeout while the primary refuses connections: its process is gone, and only a network fault could give the same impression. */
 constexpr Duration refusedPrimaryTimeout = std::chrono::milliseconds(350);
 /**
  * A leader decides whether the primary is lost only if it has received heartbeats from at least half of the VMs within this time: a leader that is cut off
- * would otherwise replace a primary that all other VMs still reach. This is shorter than any silence after which a primary is considered lost. A network split
- * silences the other VMs and the primary at the same moment; a leader that found the primary lost before it noticed the split would go on to replace it when
- * the split heals, and writes in all zones would stop for about two seconds.
+ * would otherwise replace a primary that all other VMs still reach. This is shorter than primarySilenceTimeout; reasonToReplace() shortens it further if the
+ * primary refuses connections. A network split silences the other VMs and the primary at the same moment; a leader that found the primary lost before it
+ * noticed the split would go on to replace it when the split heals, and writes in all zones would stop for about two seconds.
  */
 constexpr Duration peerHeardWindow = std::chrono::milliseconds(600);
 /**
@@ -191,11 +191,11 @@
         return; // A VM that does not receive this VM's heartbeats could still renew its authority from the store.
     }
     const bool expired = now - *leader.revokeStored_ > authorityDuration + authorityMargin;
-    // The VM list was requested after the store confirmed the revocation, so that it names every VM that could hold authority from the store.
     const bool settling = leader.promotionIssued_ && now - leader.leadSince_ < promotionSettleTime;
     if (settling) {
         return; // A promotion that a previous leader requested may still take effect.
     }
+    // A VM list requested after the store confirmed the revocation names every VM that could hold authority from the store.
     const bool listed = state.sessions_->schedule_.vmsReadAt_ >= *leader.revokeStored_;
     if (!expired && !(listed && allConfirmed(state, group))) {
         return;
@@ -335,10 +335,10 @@
     if (now - target->lastReportRequestAt_ >= reportInterval) {
         askMemberReport(state, *target, now, out);
     }
-    const bool reports = target->report_ && target->reportAsOf_ >= leader.stepSince_ && target->report_->primary_;
+    const bool reportsPrimary = target->report_ && target->reportAsOf_ >= leader.stepSince_ && target->report_->primary_;
     // The call has no effect on a member that is already primary. This is certain once a change would have been observed.
     const bool unchanged = leader.promotionAccepted_ && target->reportAsOf_ > *leader.promotionAccepted_ + promotionSettleTime;
-    if (reports && (leader.claim_.term_ < target->report_->term_ || unchanged)) {
+    if (reportsPrimary && (leader.claim_.term_ < target->report_->term_ || unchanged)) {
         finishReplacement(state, group, target->entry_.id_, target->report_->term_, "promoted", now, out);
     }
 }
@@ -425,7 +425,7 @@
     }
     logStep(*group, LogNumber::PromotionFailed, absl::StrCat("status ", answer.status_), now, out);
     if (answer.status_ != 0) {
-        // Without an answer the call may still be carried out: continue to observe the member.
+        // The platform rejected the call. Without an answer (status 0) it may still be carried out, and the member continues to be observed.
         group->leader_->promoteAfter_ = now + promotionRetryDelay;
         beginSurvey(*group->leader_, now);
     }
--- a/src/SessionHeartbeats.cpp
+++ b/src/SessionHeartbeats.cpp
@@ -17,7 +17,7 @@
 
 namespace {
 
-/** Interval between checks for peers that are due a heartbeat. The service's own review runs every 50 ms, so that heartbeats are late by at most that. */
+/** Interval between checks for peers to which a heartbeat is due. The service's own review runs every 50 ms, so that heartbeats are late by at most that. */
 constexpr Duration sendCheckInterval = std::chrono::milliseconds(50);
 /**
  * Interval between log entries on new VMs. Up to maxLoggedVms are logged by a line each, more by a single line: otherwise a starting fleet would write as many
@@ -147,7 +147,7 @@
     PeerVm &peer = state.sessions_->peers_[heartbeat.name_];
     const bool unknown = peer.vm_.incarnation_ != heartbeat.from_;
     if (!unknown && heartbeat.sent_ < peer.remoteSendTime_) {
-        return; // The later heartbeat is more recent.
+        return; // A later heartbeat has already been received.
     }
     if (unknown) {
         state.sessions_->newVms_.push_back(heartbeat.name_);
@@ -323,9 +323,9 @@
 {
     SessionServiceState &sessions = *state.sessions_;
     const bool toShortIntervalPeers = std::exchange(sessions.heartbeatNow_, false);
-    const std::vector<std::string> awaited = std::exchange(sessions.heartbeatRequesters_, {});
-    const bool toAll = toShortIntervalPeers || now >= sessions.heartbeatsReviewAt_;
-    if (!toAll && awaited.empty()) {
+    const std::vector<std::string> requesters = std::exchange(sessions.heartbeatRequesters_, {});
+    const bool reviewAll = toShortIntervalPeers || now >= sessions.heartbeatsReviewAt_;
+    if (!reviewAll && requesters.empty()) {
         return;
     }
     HeartbeatRound round;
@@ -335,14 +335,14 @@
     round.leadsAny_ = std::ranges::any_of(round.groups_, &GroupHeartbeat::leads_);
     round.toShortIntervalPeers_ = toShortIntervalPeers;
     round.heartbeat_ = makeHeartbeat(sessions, now);
-    if (toAll) {
+    if (reviewAll) {
         sessions.heartbeatsReviewAt_ = now + sendCheckInterval;
         for (auto &[name, peer] : sessions.peers_) {
             sendIfDue(sessions, peer, round, now, out);
         }
         return;
     }
-    for (const std::string &name : awaited) {
+    for (const std::string &name : requesters) {
         const auto peer = sessions.peers_.find(name);
         if (peer != sessions.peers_.end()) {
             sendIfDue(sessions, peer->second, round, now, out);
--- a/src/SessionHeartbeats.h
+++ b/src/SessionHeartbeats.h
@@ -27,9 +27,8 @@
 /** Whether this VM is a delegate of its zone; always false in a small fleet, which has no delegates. */
 bool isDelegate(const SessionServiceState &sessions);
 /**
- * Time at which \p heartbeat was sent, by this VM's clock. The error is at most the shortest transit time of any of the sender's heartbeats, by which the
- * result is too late. Ages stated in the heartbeat count from this time rather than from its arrival, since the heartbeat may have been delayed on a busy link
- * or at a paused VM.
+ * Time at which \p heartbeat was sent, by this VM's clock. The result is too late by at most the shortest transit time of any of the sender's heartbeats. Ages
+ * stated in the heartbeat count from this time rather than from its arrival, since the heartbeat may have been delayed on a busy link or at a paused VM.
  */
 Time sendingTime(const SessionServiceState &sessions, const VmHeartbeat &heartbeat, Time now);
 /** Whether \p peer was heard within the silence timeout, given the interval of its heartbeats. */
--- a/src/SharedCheck.cpp
+++ b/src/SharedCheck.cpp
@@ -10,13 +10,11 @@
 
 namespace {
 
-/**
- * Random spread of the VMs' checks, so that usually one VM is clearly first. In a large fleet updates pass through a leader, so that the other VMs check later
- * than leaders.
- */
+/** Random spread of the VMs' checks, so that usually one VM is clearly first. */
 constexpr Duration checkSpread = std::chrono::milliseconds(400);
+/** Additional delay, and additional spread, of VMs that hear a leader in a large fleet: updates pass through leaders there, which check earlier. */
 constexpr Duration nonLeaderDelay = std::chrono::milliseconds(800);
-/** Delay before an unanswered check is repeated; it doubles with each failure up to the maximum. */
+/** Mean delay before an unanswered check is repeated; it doubles with each failure up to the maximum. */
 constexpr Duration minRetryDelay = std::chrono::milliseconds(300);
 constexpr Duration maxRetryDelay = std::chrono::milliseconds(1200);
 
--- a/src/StoreReads.cpp
+++ b/src/StoreReads.cpp
@@ -27,7 +27,7 @@
 /** Interval between reads of the list while no other VM is known. */
 constexpr Duration firstVmInterval = std::chrono::milliseconds(1000);
 constexpr Duration claimInterval = std::chrono::milliseconds(350);
-/** Interval for VMs that are not delegates in a large fleet. */
+/** Replaces claimInterval for VMs that are not delegates in a large fleet. */
 constexpr Duration longClaimInterval = std::chrono::milliseconds(1000);
 /** Delay before a failed call is retried. */
 constexpr Duration retryDelay = std::chrono::milliseconds(300);
--- a/test/correctness/HeartbeatsArePaced.cpp
+++ b/test/correctness/HeartbeatsArePaced.cpp
@@ -48,13 +48,13 @@
 
 TEST(HeartbeatsArePaced, withAFewCloseVmsForEach)
 {
-    unsigned alone = 0;
+    unsigned withFewerThanTwo = 0;
     for (std::uint64_t self = 0; self < 77; ++self) {
-        unsigned close = 0;
+        unsigned shortIntervalPeers = 0;
         for (std::uint64_t peer = 0; peer < 77; ++peer) {
-            close += self != peer && heartbeatIntervalOf({VmId(100 + self), VmId(100 + peer), 77, false}) == heartbeatInterval ? 1 : 0;
+            shortIntervalPeers += self != peer && heartbeatIntervalOf({VmId(100 + self), VmId(100 + peer), 77, false}) == heartbeatInterval ? 1 : 0;
         }
-        alone += close < 2 ? 1 : 0;
+        withFewerThanTwo += shortIntervalPeers < 2 ? 1 : 0;
     }
-    EXPECT_LE(alone, 4U);
+    EXPECT_LE(withFewerThanTwo, 4U);
 }
--- a/test/error/SessionVmsAreSplit.cpp
+++ b/test/error/SessionVmsAreSplit.cpp
@@ -105,7 +105,8 @@
 }
 
 // One VM can no longer reach the primary, which all others reach; it hears the leader and keeps its authority. What it has sent to the primary is not answered,
-// and it can serve nothing that needs the primary. As a replacement would have taken place within 1.5 s, it then refers its clients to the other VMs at once.
+// and it can serve nothing that needs the primary. A replacement would have taken place within 1.5 s; after that time the VM refers its clients to the other
+// VMs at once.
 TEST(SessionVmsAreSplit, aVmThatAloneLostThePrimarySendsItsClientsToTheOthers)
 {
     SessionWorld world(config());
