--- a/src/ConfigurationFetching.cpp
+++ b/src/ConfigurationFetching.cpp
@@ -255,7 +255,7 @@
     }
     ConfigurationFetch &fetch = *state.sync_.fetch_;
     if (++fetch.failedAttempts_ > maxFailedAttempts) {
-        // A peer that has the version will report it again in its next message.
+        // The fetch is given up. A peer that has the version reports it again in its next message, which starts a new fetch.
         state.sync_.fetch_.reset();
         return;
     }
--- a/src/ConfigurationSync.cpp
+++ b/src/ConfigurationSync.cpp
@@ -14,7 +14,8 @@
 
 constexpr std::uint64_t watchCheckKey = 0; // The keys of fetch attempts are never zero.
 constexpr Duration watchCheckInterval = std::chrono::seconds(1);
-constexpr Duration watchTimeout = std::chrono::minutes(1); // A watch that ends without a change returns the whole manifest: 45 KB at 690 services.
+// Long, because a watch that ends without a change returns the whole manifest: 45 KB at 690 services.
+constexpr Duration watchTimeout = std::chrono::minutes(1);
 constexpr Duration firstReadTimeout = std::chrono::seconds(2);
 constexpr Duration minWatchDelay = std::chrono::milliseconds(500);
 constexpr Duration maxWatchDelay = std::chrono::seconds(8);
--- a/src/ConfigurationSync.h
+++ b/src/ConfigurationSync.h
@@ -28,7 +28,7 @@
 /** State of fetching one version of the configuration. */
 struct ConfigurationFetch
 {
-    ConfigVersion version_; ///< The reported version; the one received may be later.
+    ConfigVersion version_; ///< The version to fetch. If a manifest of a later version arrives, a fetch of that version replaces this one.
     std::optional<VmInfo> source_; ///< The peer to fetch from; empty for the platform.
     std::vector<VmInfo> alternatives_; ///< Other peers that reported the version.
     std::optional<Manifest> manifest_;
--- a/src/Drain.cpp
+++ b/src/Drain.cpp
@@ -90,7 +90,8 @@
     if (state.drain_.rollingBack_) {
         rollBackOpenTransactions(state, out);
         if (!state.localMessages_.empty()) {
-            state.timers_.arm(now, {TimerTopic::Drain, {}, minDrainTimeKey}); // The messages of this proxy to itself are processed with the next event.
+            // The messages of this proxy to itself are processed only with the next event; this timer makes one occur at once.
+            state.timers_.arm(now, {TimerTopic::Drain, {}, minDrainTimeKey});
         }
     }
     const bool busy = !state.entry_.requests_.empty() || !state.entry_.transactions_.empty() || hasOwnedWork(state) || !state.localMessages_.empty();
--- a/src/Drain.h
+++ b/src/Drain.h
@@ -23,7 +23,7 @@
 
 /** Begins the shutdown. */
 void onDrainAsked(ProxyState &state, Time now, Effects &out);
-/** Ends the process once nothing is in flight any more; called after every event while draining. */
+/** Rolls back open transactions after the drain timeout, and ends the process once nothing is in flight any more. Called after every event while draining. */
 void continueDrain(ProxyState &state, Time now, Effects &out);
 /** Handles timers of TimerTopic::Drain. */
 void onDrainTimer(ProxyState &state, const TimerTag &tag, Time now, Effects &out);
--- a/src/Gossip.h
+++ b/src/Gossip.h
@@ -1,5 +1,5 @@
 /** \file
- * Defines gossip between proxies. An update goes to the next VM in the order of ids, which alone ensures that it reaches every VM, and to a few random VMs,
+ * Defines gossip between proxies. An update goes to the next VM in the order of ids, which is sufficient for it to reach every VM, and to a few random VMs,
  * which makes it spread quickly.
  */
 #pragma once
--- a/src/Peer.h
+++ b/src/Peer.h
@@ -56,7 +56,7 @@
 struct Heartbeat
 {
     VmInfo sender_;
-    bool wantsVms_ = false; ///< The sender has no list of VMs and asks the receiver for its list.
+    bool wantsVms_ = false; ///< The sender does not yet know both the VMs and the configuration, and asks the receiver for its list of VMs.
 };
 /** An update of the list of VMs that is passed on from peer to peer, or the complete list in answer to a Heartbeat with wantsVms_. */
 struct VmListNews
--- a/src/Quota.cpp
+++ b/src/Quota.cpp
@@ -31,7 +31,7 @@
     return {std::min(a.connections_, b.connections_), std::min(a.slots_, b.slots_)};
 }
 
-/** Returns the quota of a new owner while the previous owner finishes its work: a connection to each member and one slot. */
+/** Returns the quota of a new owner while the previous owner finishes its work, and of a leaving owner: a connection to each member and one slot. */
 Quota initialQuota(const GroupOwner &owner)
 {
     return {ConnectionCount(static_cast<std::uint32_t>(owner.config_.members_.size())), SlotCount(1)};
--- a/src/Quota.h
+++ b/src/Quota.h
@@ -18,7 +18,7 @@
 struct ProxyState;
 struct GroupOwner;
 
-/** Connections and slots that this owner may use now. */
+/** A number of connections and statement slots. */
 struct Quota
 {
     ConnectionCount connections_;
--- a/src/Reducer.cpp
+++ b/src/Reducer.cpp
@@ -142,9 +142,9 @@
             state.localMessages_.pop_front();
             onPeerMessage(state, message, now, out);
         }
-        std::set<GroupId> dirty;
-        dirty.swap(state.groupsToDispatch_);
-        for (const GroupId &group : dirty) {
+        std::set<GroupId> groups;
+        groups.swap(state.groupsToDispatch_);
+        for (const GroupId &group : groups) {
             if (GroupOwner *owner = findOwner(state, group)) {
                 dispatch(state, *owner, now, out);
             }
--- a/src/Rendezvous.cpp
+++ b/src/Rendezvous.cpp
@@ -24,7 +24,7 @@
         std::make_heap(heap_.begin(), heap_.end(), lighter);
     }
 
-    /** Whether there is a VM at index \p i. Must be called with ascending indices. */
+    /** Whether there is a VM at index \p i. No index may be skipped: \p i is at most one above the highest index passed before. */
     bool has(std::size_t i)
     {
         if (i == sorted_.size() && !heap_.empty()) {
--- a/src/Status.cpp
+++ b/src/Status.cpp
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr Duration reportInterval = std::chrono::seconds(2);
-constexpr Duration refreshInterval = std::chrono::minutes(5); // Interval between unchanged reports, for a writer that has started since.
+constexpr Duration refreshInterval = std::chrono::minutes(5); // An unchanged report is sent again after this time, in case the writer started after the last.
 constexpr Duration writeInterval = std::chrono::seconds(5);
 constexpr Duration writeDelayPerByte = std::chrono::milliseconds(1);
 constexpr Duration maxWriteAge = std::chrono::minutes(5); // An unchanged report is rewritten after this time to show that the zone is alive.
@@ -122,7 +122,7 @@
     state.status_.changed_ = state.status_.changed_ || changed;
 }
 
-/** Returns the delay after a write. The object of a large zone is written less often, so that its writer stays at one kilobyte per second. */
+/** Returns the delay after a write. The object of a large zone is written less often, so that its writer writes at most one kilobyte per second. */
 Duration writeDelay(const StatusState &status)
 {
     return std::max(writeInterval, writeDelayPerByte * static_cast<std::int64_t>(status.writtenBytes_));
@@ -197,7 +197,7 @@
     case PlatformStatus::Conflict:
     case PlatformStatus::Unavailable:
     case PlatformStatus::Lost:
-        // Either another VM wrote the object because the lists of VMs differed, or the write may have taken effect. The next report replaces it in either case.
+        // Either another VM wrote the object because the lists of VMs differed, or the write may have taken effect. The next write replaces it in either case.
         status.versionKnown_ = false;
         status.changed_ = true;
         return;
--- a/src/Status.h
+++ b/src/Status.h
@@ -23,7 +23,7 @@
 {
     Term term_;
     bool hadPrimary_ = false;
-    Time since_; ///< Start of the current primary, or of the time without one.
+    Time since_; ///< When the current primary was first seen, or when the group was first seen without one.
     std::uint64_t failovers_ = 0;
     Duration lastGap_{};
 };
--- a/test/error/ConfigurationFetchHurriesAfterACut.cpp
+++ b/test/error/ConfigurationFetchHurriesAfterACut.cpp
@@ -23,13 +23,13 @@
     fleet.apply(configurationText(3, 2));
     const ProxyState &self = fleet.vms()[2].state_;
     const VmInfo peer = fleet.vms()[0].state_.identity_.self_;
-    const PeerMessage heard{peer.id_, self.identity_.self_.id_, peer.address_, ConfigVersion(2), Heartbeat{.sender_ = peer}};
-    fleet.give(2, PeerReceived{heard});
+    const PeerMessage received{peer.id_, self.identity_.self_.id_, peer.address_, ConfigVersion(2), Heartbeat{.sender_ = peer}};
+    fleet.give(2, PeerReceived{received});
     fleet.run(seconds(20));
     ASSERT_EQ(self.configuration_.version_, ConfigVersion(1));
     ASSERT_TRUE(self.sync_.fetch_);
     fleet.setCut(0, 2, false);
-    fleet.give(2, PeerReceived{heard});
+    fleet.give(2, PeerReceived{received});
     fleet.run(milliseconds(20));
     EXPECT_EQ(self.configuration_.version_, ConfigVersion(2));
 }
